--- a/internal/traffic/silence_test.go
+++ b/internal/traffic/ack_race_test.go
@@ -16,17 +16,17 @@
 	"sliphead/internal/snapshot"
 )
 
-// A node's first sign may come at the very moment at which it is given up for its
-// silence. Either the sign counts, or the body is not sent: a request that was given
-// up as silent ran at its worker, was cut off there, and could not be sent again.
-func TestSignAtTheMomentOfSilence(t *testing.T) {
-	const times = 300 // which of the two comes first is the scheduler's choice
+// An acknowledgement may arrive at the moment at which its timeout expires. Either it counts,
+// or the body is not sent. Fault: a request that was abandoned as unacknowledged ran at its
+// worker, was interrupted there, and could not be sent again.
+func TestAckRacingWithAckTimeout(t *testing.T) {
+	const times = 300 // the scheduler decides which of the two comes first
 	for range times {
-		synctest.Test(t, signAtTheMomentOfSilence)
+		synctest.Test(t, ackRacingWithAckTimeout)
 	}
 }
 
-func signAtTheMomentOfSilence(t *testing.T) {
+func ackRacingWithAckTimeout(t *testing.T) {
 	const silence = 300 * time.Millisecond
 	near, far := net.Pipe()
 	sent := make(chan bool, 1)
@@ -35,7 +35,7 @@
 		_, err := http.ReadRequest(reader)
 		must.NoError(t, err)
 		time.Sleep(silence)
-		_, _ = io.WriteString(far, "HTTP/1.1 100 Continue\r\n\r\n") // fails when the caller has gone
+		_, _ = io.WriteString(far, "HTTP/1.1 100 Continue\r\n\r\n") // fails if the caller has closed the connection
 		_, err = io.ReadFull(reader, make([]byte, len("cards")))
 		sent <- err == nil
 		_, _ = io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -48,7 +48,7 @@
 		request: request, context: t.Context(), deadline: time.Now().Add(time.Minute), concurrentBody: true,
 		route: &snapshot.Route{}, body: body{present: true, length: 5, whole: []byte("cards")},
 	}
-	to := &hop{pool: newPool(sealedDial(dial, time.Second), 1, 0), address: "node", offer: true, silence: silence}
+	to := &hop{pool: newPool(sealedDial(dial, time.Second), 1, 0), address: "node", offer: true, ackTimeout: silence}
 	got, failure := send(x, to, func(*http.Response) *result { return nil })
 	_ = near.Close()
 	if bodySent := <-sent; bodySent {
--- a/internal/traffic/elsewhere.go
+++ b/internal/traffic/alternative.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// elsewhereHeader on a try between nodes says that the caller's node knows of
-// another endpoint that seems to be free: a full worker's node then refuses
-// the try at once instead of queueing it. On a refusal it says that this was
-// the reason. Without it, on the last try, the request is queued.
+// elsewhereHeader on an attempt between nodes states that the caller's node has another
+// endpoint that seems to be free: the node of a full worker then refuses the attempt
+// immediately instead of queueing it. On a refusal the header states that this was the reason.
+// Without it, on the last attempt, the request is queued.
 const elsewhereHeader = "Sliphead-Elsewhere"
 
-// mostMoves is how often a request goes on to another endpoint because one was
-// full. A move costs neither the call tree's nor the node's retry budget, since
+// mostMoves is the maximum number of times that a request goes to another endpoint because one
+// was full. This costs neither the retry budget of the call tree nor that of the node, since
 // nothing ran. In overload a request is thus sent three times at most.
 const mostMoves = 2
 
-// markFull gives a refusal by a full worker's node its own cause.
+// markFull gives a refusal by the node of a full worker its own cause.
 func markFull(refused *result, response *http.Response) *result {
 	if refused != nil && hasHeader(response.Header, elsewhereHeader) {
 		refused.cause = causeFull
@@ -24,10 +24,9 @@
 	return refused
 }
 
-// heldByCallers reports whether all slots are held by requests of the same
-// call tree, each on another level above this one: they wait for this request,
-// and it would wait for them until its deadline. Two holders on one level can't
-// both be its callers.
+// heldByCallers reports whether all slots are held by requests of the same call tree, each on
+// another level above this one: they wait for this request, and it would wait for them until
+// its deadline. Two holders on one level cannot both be its callers.
 func (a *admitter) heldByCallers(x *exchange) bool {
 	levels := map[int]bool{}
 	for holder := range a.holders {
@@ -39,20 +38,20 @@
 	return len(levels) > 0
 }
 
-// isShortWait reports whether a request is expected to get a slot here sooner than it
-// would get to another endpoint: a worker of 13 slots frees one each 15 ms, and on a full
-// link the way to another node takes longer. Refused at once, over half of the tries
-// between nodes were refusals, also in seconds without overload.
+// isShortWait reports whether a request is expected to get a slot here before it could reach
+// another endpoint: a worker with 13 slots frees one every 15 ms, and on a full link the
+// transfer to another node takes longer. With immediate refusals, over half of the attempts
+// between nodes were refused, even in seconds without overload.
 func (a *admitter) isShortWait(x *exchange) bool {
-	if x.moveTime <= 0 {
+	if x.rerouteTime <= 0 {
 		return false
 	}
 	wait, _ := a.queue.Forecast(a.classOf(x), x.route.Name, time.Now())
-	return wait <= x.moveTime
+	return wait <= x.rerouteTime
 }
 
-// noWait is the refusal of a request that is not to wait at a full worker, nil
-// if it is to be granted or queued.
+// noWait returns the refusal of a request that must not queue at a full worker, nil if it may
+// be granted a slot or queued.
 func (a *admitter) noWait(x *exchange) *result {
 	now := time.Now()
 	if a.queue.Free(now) {
@@ -65,7 +64,7 @@
 	case x.elsewhere && a.queue.Limited(now):
 		refused = a.refuseLimited(x, 0, now)
 	case x.elsewhere:
-		if !x.between {
+		if !x.fromNode {
 			newFields(x.writer.Header()).set(elsewhereHeader, "1")
 		}
 		refused = refuse(causeFull, 0, "send it to another worker, this one is full")
--- a/internal/traffic/answer.go
+++ b/internal/traffic/answer.go
@@ -13,17 +13,17 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// answer is what the next hop answered, not yet passed on.
+// answer is the response of the next hop before it is forwarded.
 type answer struct {
 	response *http.Response
-	whole    []byte // the body when it is small and of known length
+	whole    []byte // the body, if it is small and of known length
 	isWhole  bool
-	replayed bool // whether it was kept from an earlier run
+	replayed bool // whether it was stored by an earlier run
 
 	callFailed bool // whether calls of the worker failed while it ran the request
 }
 
-// kilobytes is the size of an answer of known length with its header, 0 of another.
+// kilobytes returns the size of the response with its header, 0 if its length is unknown.
 func (a *answer) kilobytes() float64 {
 	const kilo = 1000
 	if a.response.ContentLength < 0 {
@@ -32,8 +32,8 @@
 	return float64(a.response.ContentLength+headerBytes) / kilo
 }
 
-// receive takes an answer in. A small one is read whole, so that a short one
-// can still be turned into a failure.
+// receive reads a response. A small one is buffered completely, so that a truncated one can
+// still be turned into a failure.
 func receive(x *exchange, response *http.Response) (*answer, *result) {
 	if !framed(response) && x.wholeUnframed {
 		return receiveUnframed(x, response)
@@ -56,11 +56,11 @@
 	return &answer{response: response, whole: whole, isWhole: true}, nil
 }
 
-// maxUnframed bounds an answer without a length, which is read whole.
+// maxUnframed bounds a buffered response without a length, in bytes.
 const maxUnframed = 8 << 20
 
-// receiveUnframed takes in an answer that ends with its connection. It is whole
-// only when the connection was closed in order.
+// receiveUnframed buffers a response that ends with its connection. It is complete only if the
+// connection was closed without an error.
 func receiveUnframed(x *exchange, response *http.Response) (*answer, *result) {
 	whole, err := io.ReadAll(io.LimitReader(response.Body, maxUnframed))
 	_ = response.Body.Close()
@@ -72,14 +72,14 @@
 	return &answer{response: response, whole: whole, isWhole: true}, nil
 }
 
-// framed reports whether the end of the answer can be told from a cut.
+// framed reports whether a truncated response can be distinguished from a complete one.
 func framed(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || response.Uncompressed ||
 		response.Request.Method == http.MethodHead || response.Body == http.NoBody
 }
 
-// pass hands the answer on. The header of a streamed answer goes out before
-// its body is known to be whole: a broken one is cut.
+// pass forwards the response to the caller. The header of a streamed response is sent before
+// its body has been read; if the body then breaks off, the connection is cut.
 func (a *answer) pass(x *exchange) result {
 	defer func() { _ = a.response.Body.Close() }()
 	header := x.writer.Header()
@@ -98,7 +98,7 @@
 	x.writer.WriteHeader(a.response.StatusCode)
 	ended := result{outcome: outcome.Answered, status: a.response.StatusCode, cause: causeNone, sent: true}
 	if a.isWhole {
-		_, _ = x.writer.Write(a.whole) // an error means that the caller has gone
+		_, _ = x.writer.Write(a.whole) // an error means that the caller has disconnected
 		return ended
 	}
 	if err := a.stream(x); err != nil {
@@ -109,8 +109,7 @@
 	return ended
 }
 
-// stream copies the body and flushes after each read, so that nothing that
-// has come is held back.
+// stream copies the body and flushes after each read, so that received data is not delayed.
 func (a *answer) stream(x *exchange) error {
 	buffer := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buffer)
@@ -121,7 +120,7 @@
 			if _, writeErr := x.writer.Write(buffer[:count]); writeErr != nil {
 				return writeErr
 			}
-			_ = controller.Flush() // not offered by all writers
+			_ = controller.Flush() // not supported by all writers
 		}
 		if err == io.EOF {
 			return nil
--- a/internal/traffic/bench_test.go
+++ b/internal/traffic/bench_test.go
@@ -11,14 +11,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// benchWorker answers a catalogue lookup with a kilobyte.
+// benchWorker responds to a catalogue lookup with about a kilobyte.
 func benchWorker(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header()["Content-Type"] = []string{"application/json"}
-	_, _ = io.WriteString(w, benchAnswer)
+	_, _ = io.WriteString(w, benchResponse)
 }
 
-var benchAnswer = strings.Repeat("price=125;", 100)
+var benchResponse = strings.Repeat("price=125;", 100)
 
 // measure sends requests one after the other and reports their latency.
 func measure(b *testing.B, method, target, body string) {
@@ -43,11 +43,11 @@
 func BenchmarkDirect(b *testing.B) {
 	m := newMesh(b, benchWorker, nil)
 	b.Run("get", func(b *testing.B) { measure(b, "GET", m.worker.URL+"/lookup", "") })
-	b.Run("post", func(b *testing.B) { measure(b, "POST", m.worker.URL+"/lookup", benchAnswer) })
+	b.Run("post", func(b *testing.B) { measure(b, "POST", m.worker.URL+"/lookup", benchResponse) })
 }
 
 func BenchmarkTwoHops(b *testing.B) {
 	m := newMesh(b, benchWorker, nil)
 	b.Run("get", func(b *testing.B) { measure(b, "GET", m.outbound.URL+"/lookup", "") })
-	b.Run("post", func(b *testing.B) { measure(b, "POST", m.outbound.URL+"/lookup", benchAnswer) })
+	b.Run("post", func(b *testing.B) { measure(b, "POST", m.outbound.URL+"/lookup", benchResponse) })
 }
--- a/internal/traffic/body.go
+++ b/internal/traffic/body.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// readBody opens the request's body.
+// readBody prepares the request's body: a small one is buffered, any other is streamed.
 func readBody(limits *Limits) filter {
 	return func(next stage) stage {
 		return func(x *exchange) result {
@@ -29,15 +29,15 @@
 	}
 }
 
-// mostWhole bounds the bodies that are held whole with a catalog, in bytes.
-const mostWhole = 4 << 20
+// maxWholeBody bounds, in bytes, the request bodies that are buffered with a catalog.
+const maxWholeBody = 4 << 20
 
-// readWholeBody opens the request's body and reads it whole, also one of
-// unknown length: it may then be offered to several nodes.
+// readWholeBody buffers the request's body, even one of unknown length, so that it can be
+// offered to several nodes.
 func readWholeBody(limits *Limits) filter {
-	known := *limits
-	known.SmallBody = mostWhole
-	open := readBody(&known)
+	raised := *limits
+	raised.SmallBody = maxWholeBody
+	open := readBody(&raised)
 	return func(next stage) stage {
 		withLength := open(next)
 		return func(x *exchange) result {
@@ -47,11 +47,11 @@
 			if x.request.ContentLength >= 0 {
 				return withLength(x)
 			}
-			whole, err := io.ReadAll(io.LimitReader(x.request.Body, mostWhole+1))
+			whole, err := io.ReadAll(io.LimitReader(x.request.Body, maxWholeBody+1))
 			if err != nil {
 				return reject(http.StatusBadRequest, causeMalformed, "send the whole body")
 			}
-			if len(whole) > mostWhole {
+			if len(whole) > maxWholeBody {
 				return reject(http.StatusRequestEntityTooLarge, causeLimits, "send a shorter body, or its length")
 			}
 			x.body = body{present: true, length: int64(len(whole)), whole: whole}
@@ -60,18 +60,18 @@
 	}
 }
 
-// body is a request's body. A small one is held whole and can be sent again;
-// any other streams and can be sent again only while nothing of it was read.
+// body is a request's body. A small one is buffered and can be sent again; any other is
+// streamed and can be sent again only while nothing of it has been read.
 type body struct {
-	length  int64 // -1: not known
+	length  int64 // -1: unknown
 	whole   []byte
 	stream  *streamedBody
 	present bool
 }
 
-// unread reports whether something of the request's body may still come. Then
-// the connection is closed after the answer: else the server of net/http reads
-// the rest first and so holds a final answer back.
+// unread reports whether some of the request's body may not have been read yet. The connection
+// is then closed after the response: otherwise the net/http server reads the rest first and
+// delays the final response.
 func (x *exchange) unread() bool {
 	if x.request.ContentLength == 0 {
 		return false
@@ -82,7 +82,7 @@
 	return !x.body.present
 }
 
-// openBody prepares a request's body. The error is the caller's: the body broke.
+// openBody prepares a request's body. An error means that the caller's body broke off.
 func openBody(x *exchange, limits *Limits) (body, error) {
 	request := x.request
 	if request.Body == nil || request.Body == http.NoBody || request.ContentLength == 0 {
@@ -96,13 +96,13 @@
 	if _, err := io.ReadFull(stream, whole); err != nil {
 		return body{}, err
 	}
-	if _, err := stream.Read(make([]byte, 1)); err != io.EOF { // lets the server notice the end
+	if _, err := stream.Read(make([]byte, 1)); err != io.EOF { // the server notices the end of the body by this read
 		return body{}, io.ErrUnexpectedEOF
 	}
 	return body{present: true, length: request.ContentLength, whole: whole}, nil
 }
 
-// reader returns the body for one try.
+// reader returns the body for one attempt.
 func (b *body) reader() io.ReadCloser {
 	switch {
 	case !b.present:
@@ -115,26 +115,25 @@
 }
 
 // replayable reports whether the body can be sent again.
-func (b *body) replayable() bool { return b.stream == nil || !b.stream.touched.Load() }
+func (b *body) replayable() bool { return b.stream == nil || !b.stream.readStarted.Load() }
 
-// end stops reading from the caller's connection, which may go on to carry
-// another request.
+// end stops reads from the caller's connection, which may then carry another request.
 func (b *body) end() {
 	if b.stream != nil {
 		b.stream.end()
 	}
 }
 
-// streamedBody reads from the caller as fast as the other side takes it. Its
-// Close does nothing, so that a body that was not read can go to another node.
+// streamedBody reads from the caller as fast as the next hop accepts the data. Its Close does
+// nothing, so that an unread body can be sent to another node.
 type streamedBody struct {
-	source     io.Reader
-	controller *http.ResponseController
-	timeout    time.Duration // for each read
-	deadline   time.Time     // for all reads
-	touched    atomic.Bool
-	broken     atomic.Bool
-	finished   atomic.Bool
+	source      io.Reader
+	controller  *http.ResponseController
+	timeout     time.Duration // for each read
+	deadline    time.Time     // for all reads
+	readStarted atomic.Bool
+	broken      atomic.Bool
+	finished    atomic.Bool
 
 	mutex sync.Mutex
 	ended bool
@@ -142,30 +141,31 @@
 
 // Read implements io.Reader.
 func (s *streamedBody) Read(buffer []byte) (int, error) {
-	s.touched.Store(true)
+	s.readStarted.Store(true)
 	until := time.Now().Add(s.timeout)
 	if s.deadline.Before(until) {
 		until = s.deadline
 	}
-	if !s.readUntil(until) {
+	if !s.setReadDeadline(until) {
 		return 0, http.ErrBodyReadAfterClose
 	}
 	count, err := s.source.Read(buffer)
 	if err != nil {
-		// The server watches the connection for the caller's leaving from now on.
-		s.readUntil(time.Time{})
+		// From now on the server watches the connection for the disconnect of the caller.
+		s.setReadDeadline(time.Time{})
 	}
 	s.finished.Store(err == io.EOF)
 	s.broken.Store(err != nil && err != io.EOF)
 	return count, err
 }
 
-// readUntil sets the connection's read deadline, false when the request has ended.
-func (s *streamedBody) readUntil(deadline time.Time) bool {
+// setReadDeadline sets the connection's read deadline and returns false if the request has
+// ended.
+func (s *streamedBody) setReadDeadline(deadline time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.ended {
-		_ = s.controller.SetReadDeadline(deadline) // not offered by all writers
+		_ = s.controller.SetReadDeadline(deadline) // not supported by all writers
 	}
 	return !s.ended
 }
--- a/internal/traffic/budget_test.go
+++ b/internal/traffic/budget_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// budgetMesh is the budgets of all nodes for one service in virtual time, and what the
-// workers of that service see.
+// budgetMesh holds the budgets of all nodes for one service in virtual time, and counts the
+// arrivals at the workers of that service.
 type budgetMesh struct {
 	nodes    []*serviceBudget
 	limits   Limits
 	random   *rand.Rand
 	now      time.Time
-	requests []int // in each step
-	repeats  []int
+	requests []int // per step
+	repeats  []int // per step
 }
 
-// budgetStep is the length of a step of the mesh's time; a window has budgetWindow of them.
+// budgetStep is the length of a step of virtual time; a window has budgetWindow steps.
 const (
 	budgetStep   = 100 * time.Millisecond
 	budgetWindow = 100
@@ -32,7 +32,7 @@
 	return m
 }
 
-// restart starts a share of the nodes anew.
+// restart replaces the budgets of a share of the nodes by new ones.
 func (m *budgetMesh) restart(share float64) {
 	for index := range m.nodes {
 		if m.random.Float64() < share {
@@ -41,14 +41,14 @@
 	}
 }
 
-// step lets requests come, of which each try is rejected with the given chance, to the
-// first of the nodes that are in use.
+// step sends requests to the first inUse nodes; each attempt is rejected with the given
+// probability.
 func (m *budgetMesh) step(requests, inUse int, rejected float64) {
 	m.now = m.now.Add(budgetStep)
 	repeats := 0
 	for range requests {
 		node := m.nodes[m.random.IntN(inUse)]
-		node.count("shop", len(m.nodes), m.now)
+		node.deposit("shop", len(m.nodes), m.now)
 		lastChance := m.random.IntN(2) == 0
 		for m.random.Float64() < rejected && node.take("shop", len(m.nodes), lastChance, m.now) {
 			repeats++
@@ -58,9 +58,10 @@
 	m.repeats = append(m.repeats, repeats)
 }
 
-// worst is by how many arrivals the bound was exceeded in the worst window; below zero it
-// was kept. The requests are those of the window or of the one before.
-func (m *budgetMesh) worst() float64 {
+// maxExcess returns by how many arrivals the bound was exceeded in the worst window; a
+// negative value means that it was not. The bound counts the requests of the window itself, of
+// the one before, or of one that overlaps both by half.
+func (m *budgetMesh) maxExcess() float64 {
 	worst := -1e9
 	sum := func(of []int, end int) (total int) {
 		for index := max(0, end-budgetWindow); index < min(max(0, end), len(of)); index++ {
@@ -75,10 +76,10 @@
 	return worst
 }
 
-// The bound on repeats is kept over all nodes together, whatever comes when: workers that
-// reject all or half, herds after a calm, clients that move to a few nodes, nodes that
-// start together in mid-flood, and meshes of more nodes than the allowance has repeats.
-func TestRepeatsOfTheWholeMeshAreBounded(t *testing.T) {
+// The retries of all nodes together must stay within the bound under any load: workers that
+// reject all or half, bursts after an idle period, clients that move to a few nodes, nodes
+// that restart together under load, and meshes of more nodes than the allowance has retries.
+func TestServiceBudgetBoundsMeshRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.SampledFrom([]int{1, 3, 82, 850}).Draw(t, "nodes")
 		limits := Limits{RetryRatio: 0.2, RetrySlack: rapid.SampledFrom([]int{64, 186, 204}).Draw(t, "slack")}
@@ -94,13 +95,13 @@
 				m.restart(rapid.SampledFrom([]float64{0.3, 1}).Draw(t, "share"))
 			}
 		}
-		must.LessEq(t, 0, m.worst())
+		must.LessEq(t, 0, m.maxExcess())
 	})
 }
 
-// A service that is asked often and whose workers reject half gets most of the repeats that
-// the bound allows, in a small mesh and in one of more nodes than the allowance.
-func TestRepeatsOfTheWholeMeshAreUsed(t *testing.T) {
+// A busy service whose workers reject half of the requests must get most of the retries that
+// the bound allows, in a small mesh and in one of more nodes than the allowance has retries.
+func TestServiceBudgetAllowsMostOfTheBound(t *testing.T) {
 	for count, least := range map[int]float64{3: 0.16, 82: 0.16, 850: 0.14} {
 		m := newBudgetMesh(count, Limits{RetryRatio: 0.2, RetrySlack: 204}, 7)
 		requests, repeats := 0, 0
@@ -113,29 +114,29 @@
 	}
 }
 
-// While repeats are short they go to last chances; while they are not, to all.
-func TestShortRepeatsAreKeptForLastChances(t *testing.T) {
+// Scarce retries are reserved for requests with lastChance; otherwise any request gets one.
+func TestScarceRetriesAreReservedForLastChances(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	b := newServiceBudget(Limits{RetryRatio: 0.2, RetrySlack: 204})
 	for range 40 {
-		b.count("shop", 82, now)
+		b.deposit("shop", 82, now)
 	}
-	must.True(t, b.take("shop", 82, false, now)) // nobody else wants one
+	must.True(t, b.take("shop", 82, false, now)) // no request with lastChance competes for it
 	for range 4 {
-		b.count("shop", 82, now)
+		b.deposit("shop", 82, now)
 	}
 	must.True(t, b.take("shop", 82, true, now))
 	for range 3 {
-		b.count("shop", 82, now)
+		b.deposit("shop", 82, now)
 	}
 	must.False(t, b.take("shop", 82, false, now))
 	must.True(t, b.take("shop", 82, true, now))
 }
 
-// Runs that fail are repeated, and their calls are made again: these count at the called
-// service, of whose requests its workers reject half. Its bound holds all the same, whatever
+// Failed runs are repeated and make their calls again. These calls count as arrivals at the
+// called service, whose workers reject half of the requests. Its bound must hold whatever
 // share of the runs fails.
-func TestCallsOfRepeatedRunsStayInTheBound(t *testing.T) {
+func TestServiceBudgetBoundsCallsOfRepeatedRuns(t *testing.T) {
 	const callsOfRun = 2
 	for seed, failing := range []float64{0, 0.05, 0.2, 0.6, 0.6, 1} {
 		m := newBudgetMesh(82, Limits{RetryRatio: 0.2, RetrySlack: 204}, uint64(seed))
@@ -150,11 +151,11 @@
 					worker.charge("shop", 82, callsOfRun, m.now)
 					m.repeats[last] += callsOfRun
 				} else {
-					first.count("ledger", 82, m.now)
+					first.deposit("ledger", 82, m.now)
 					m.requests[last] += callsOfRun
 				}
 				for range callsOfRun {
-					worker.count("shop", 82, m.now)
+					worker.deposit("shop", 82, m.now)
 					for m.random.Float64() < 0.5 && worker.take("shop", 82, true, m.now) {
 						m.repeats[last]++
 					}
@@ -164,13 +165,13 @@
 				}
 			}
 		}
-		must.LessEq(t, 0, m.worst(), must.Sprint(failing))
+		must.LessEq(t, 0, m.maxExcess(), must.Sprint(failing))
 	}
 }
 
-// The calls of a run that is itself a repeat are taken off the budget of the service that it
-// calls, also where nothing is left; repeats are earned anew before any is made.
-func TestCallsOfRepeatedRunsAreCharged(t *testing.T) {
+// The calls of a repeated run are charged to the budget of the called service, even if it
+// becomes negative; no retry is allowed until the debt has been earned back.
+func TestServiceBudgetChargesCallsOfRepeatedRuns(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	nested := newNestedCalls()
 	for range 10 {
@@ -184,7 +185,7 @@
 	b.charge("dunning", 1, 3, now)
 	must.False(t, b.take("dunning", 1, true, now))
 	for range 30 {
-		b.count("dunning", 1, now)
+		b.deposit("dunning", 1, now)
 	}
 	must.True(t, b.take("dunning", 1, true, now))
 }
--- a/internal/traffic/gone_test.go
+++ b/internal/traffic/caller_disconnect_test.go
@@ -13,9 +13,9 @@
 	"sliphead/internal/snapshot"
 )
 
-// leaveAfter sends a request to the first node and closes its connection once a condition
-// holds.
-func (m *catalogMesh) leaveAfter(method, path, id string, condition func() bool) {
+// disconnectAfter sends a request to the first node and closes its connection once the
+// condition holds.
+func (m *catalogMesh) disconnectAfter(method, path, id string, condition func() bool) {
 	m.t.Helper()
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
@@ -37,7 +37,7 @@
 	must.Error(m.t, <-ended)
 }
 
-// bodyOf is the body of a method's requests.
+// bodyOf returns the body for requests of a method.
 func bodyOf(method string) string {
 	if method == http.MethodGet {
 		return ""
@@ -45,33 +45,34 @@
 	return "cards"
 }
 
-// remoteMesh starts two nodes of which the first knows the other's worker alone.
+// remoteMesh starts two nodes; the view of the first one contains only the second one's
+// worker.
 func remoteMesh(t *testing.T) *catalogMesh {
 	m := newCatalogMesh(t, 2)
 	m.publish(func(route *snapshot.Route) {
 		route.Targets[0].Endpoints = route.Targets[0].Endpoints[1:]
-		route.Objective = time.Hour // so that nothing but the caller's leaving ends a request
+		route.Objective = time.Hour // so that only the disconnect of the caller ends a request
 		route.DeadlineMS = time.Hour.Milliseconds()
 	})
 	return m
 }
 
-// A caller that leaves is noticed over both hops: the worker's connection ends while the
-// worker is at work, long before the deadline. With a body, which is offered first, as well.
-func TestLeavingCallerReachesTheWorker(t *testing.T) {
+// The disconnect of a caller propagates over both hops: the worker's connection is closed
+// during the run, long before the deadline, also for a body that waited for 100 Continue.
+func TestCallerDisconnectCancelsWorkerRequest(t *testing.T) {
 	for method, path := range map[string]string{http.MethodGet: "/lookup/1", http.MethodPost: "/order/1"} {
 		m := remoteMesh(t)
 		m.script("watch")
-		m.leaveAfter(method, path, "r-left", func() bool { return m.runs() == 1 })
-		<-m.nodes[1].worker.left
+		m.disconnectAfter(method, path, "r-left", func() bool { return m.runs() == 1 })
+		<-m.nodes[1].worker.disconnected
 		waitFor(t, func() bool { return m.nodes[1].in.Busy() == 0 && m.nodes[0].out.InFlight() == 0 })
 	}
 }
 
-// A request that waits for a slot at the worker's node gives its place up when its caller
-// leaves, and never runs. One with a body that may run once waits to be asked for it, so
-// that only its connection tells of the caller.
-func TestLeavingCallerGivesUpItsPlace(t *testing.T) {
+// A request that waits for a slot at the worker's node is removed from the queue when its
+// caller disconnects, and never runs. The body of a request that must run at most once waits
+// for 100 Continue, so that only the connection shows the disconnect.
+func TestCallerDisconnectReleasesQueuePlace(t *testing.T) {
 	for method, path := range map[string]string{http.MethodGet: "/lookup/1", http.MethodPost: "/order/1"} {
 		m := remoteMesh(t)
 		m.script("wait", "wait")
@@ -84,9 +85,9 @@
 			}()
 		}
 		waitFor(t, func() bool { return m.runs() == 2 })
-		m.leaveAfter(method, path, "r-left", func() bool { return m.nodes[1].in.Queued() == 1 })
+		m.disconnectAfter(method, path, "r-left", func() bool { return m.nodes[1].in.Queued() == 1 })
 		waitFor(t, func() bool { return m.nodes[1].in.Queued() == 0 })
-		must.Eq(t, 2, m.nodes[1].in.Busy()) // it has gone before a slot was free
+		must.Eq(t, 2, m.nodes[1].in.Busy()) // it was removed before a slot was free
 		close(m.nodes[1].worker.gate)
 		must.Eq(t, http.StatusOK, <-answered)
 		must.Eq(t, http.StatusOK, <-answered)
--- a/internal/traffic/catalog_mesh_test.go
+++ b/internal/traffic/catalog_mesh_test.go
@@ -19,7 +19,7 @@
 	"sliphead/internal/version"
 )
 
-// testProtocol names the headers of the stand-in callers and workers.
+// testProtocol names the headers of the simulated callers and workers.
 var testProtocol = Protocol{
 	RequestID:      "X-Test-Id",
 	Deadline:       "X-Test-Deadline",
@@ -33,27 +33,27 @@
 	Leaving:        "X-Test-Leaving",
 }
 
-// instanceWorker is a stand-in worker of a catalog's mesh. It does what the
-// script says for each request in turn, then answers well.
+// instanceWorker simulates a worker of a catalog's mesh. Each request gets the next behaviour
+// of the script, and a good response once the script is empty.
 type instanceWorker struct {
 	id       string
 	listener net.Listener
 
-	mutex  sync.Mutex
-	script []string
-	ran    []string // ids of requests that ran
-	got    []*http.Request
-	bodies []string
-	others int           // requests that were for another instance
-	says   string        // header fields of its own answers, each with its line's end
-	gate   chan struct{} // when set, "wait" answers once it is closed
-	left   chan struct{} // told when "watch" has seen the connection end
+	mutex          sync.Mutex
+	script         []string
+	ran            []string // ids of requests that ran
+	got            []*http.Request
+	bodies         []string
+	misdirected    int           // requests that were for another instance
+	responseFields string        // header lines added to its own responses, each with its line end
+	gate           chan struct{} // closed to let "wait" respond
+	disconnected   chan struct{} // receives a value when "watch" has seen the connection end
 }
 
 func newInstanceWorker(t testing.TB, id string) *instanceWorker {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	w := &instanceWorker{id: id, listener: listener, gate: make(chan struct{}), left: make(chan struct{}, 8)}
+	w := &instanceWorker{id: id, listener: listener, gate: make(chan struct{}), disconnected: make(chan struct{}, 8)}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -69,7 +69,7 @@
 
 func (w *instanceWorker) address() string { return w.listener.Addr().String() }
 
-// next takes the next behaviour of the script.
+// next removes and returns the next behaviour of the script.
 func (w *instanceWorker) next() string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -87,11 +87,11 @@
 	return len(w.ran)
 }
 
-// refused counts the requests that were for another instance.
-func (w *instanceWorker) refused() int {
+// misdirectedCount returns the number of requests that were for another instance.
+func (w *instanceWorker) misdirectedCount() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.others
+	return w.misdirected
 }
 
 func (w *instanceWorker) isTarget(request *http.Request) bool {
@@ -100,11 +100,11 @@
 	if request.Header.Get(testProtocol.TargetInstance) == w.id {
 		return true
 	}
-	w.others++
+	w.misdirected++
 	return false
 }
 
-func (w *instanceWorker) note(request *http.Request, body string) {
+func (w *instanceWorker) record(request *http.Request, body string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.ran = append(w.ran, request.Header.Get(testProtocol.RequestID))
@@ -127,8 +127,8 @@
 			return
 		}
 		behaviour := w.next()
-		if behaviour == "early" { // answers while the body is still coming, and reads no more
-			w.note(request, "")
+		if behaviour == "early" { // responds before it has read the body, and reads no more
+			w.record(request, "")
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 413 Long\r\n%s\r\nContent-Length: 4\r\n\r\nlong", w.headers(request))
 			<-w.gate
 			return
@@ -141,46 +141,46 @@
 }
 
 func (w *instanceWorker) headers(request *http.Request) string {
-	return fmt.Sprintf("%s%s: %s\r\n%s: signed", w.saying(), testProtocol.RequestID, request.Header.Get(testProtocol.RequestID), testProtocol.Signature)
+	return fmt.Sprintf("%s%s: %s\r\n%s: signed", w.ownResponseFields(), testProtocol.RequestID, request.Header.Get(testProtocol.RequestID), testProtocol.Signature)
 }
 
-// say has the worker's answers carry header fields from now on, each with its line's end.
+// say sets header lines for the worker's responses from now on, each with its line end.
 func (w *instanceWorker) say(fields string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.says = fields
+	w.responseFields = fields
 }
 
-func (w *instanceWorker) saying() string {
+func (w *instanceWorker) ownResponseFields() string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.says
+	return w.responseFields
 }
 
-func answerOf(request *http.Request) string {
+func bodyOfResponse(request *http.Request) string {
 	return "answer to " + request.Header.Get(testProtocol.RequestID)
 }
 
-// behave answers one request, or not; false ends the connection.
+// behave responds to one request according to the behaviour; false closes the connection.
 func (w *instanceWorker) behave(behaviour string, conn net.Conn, request *http.Request, body string) bool {
-	text := answerOf(request)
+	text := bodyOfResponse(request)
 	if !w.isTarget(request) {
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
 	if behaviour == "shed" {
-		_, _ = fmt.Fprintf(conn, "HTTP/1.1 503 Full\r\n%s%s: 1\r\nContent-Length: 0\r\n\r\n", w.saying(), testProtocol.NotExecuted)
+		_, _ = fmt.Fprintf(conn, "HTTP/1.1 503 Full\r\n%s%s: 1\r\nContent-Length: 0\r\n\r\n", w.ownResponseFields(), testProtocol.NotExecuted)
 		return true
 	}
-	w.note(request, body)
+	w.record(request, body)
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s\r\nContent-Length: %d\r\n\r\n%s", w.headers(request), len(text), text)
-	late := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\n%s: signed\r\nContent-Length: 5\r\n\r\nother", testProtocol.RequestID, testProtocol.Signature)
+	lateResponse := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\n%s: signed\r\nContent-Length: 5\r\n\r\nother", testProtocol.RequestID, testProtocol.Signature)
 	switch behaviour {
 	case "wait":
 		<-w.gate
-	case "watch": // works until the caller is gone
+	case "watch": // runs until the caller disconnects
 		_, _ = conn.Read(make([]byte, 1))
-		w.left <- struct{}{}
+		w.disconnected <- struct{}{}
 		return false
 	case "wait-error", "error":
 		if behaviour == "wait-error" {
@@ -203,10 +203,10 @@
 		_, _ = io.WriteString(conn, whole[:len(whole)-4])
 		return false
 	case "late":
-		_, _ = io.WriteString(conn, late+whole)
+		_, _ = io.WriteString(conn, lateResponse+whole)
 		return true
 	case "extra":
-		_, _ = io.WriteString(conn, whole+late)
+		_, _ = io.WriteString(conn, whole+lateResponse)
 		return true
 	case "unframed":
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\nConnection: close\r\n\r\n%s", w.headers(request), text)
@@ -230,16 +230,16 @@
 	outbound string
 }
 
-// catalogMesh is nodes with a worker each, all of one service in one zone.
+// catalogMesh consists of nodes with one worker each, all of one service in one zone.
 type catalogMesh struct {
 	t      testing.TB
 	nodes  []*catalogNode
 	client *http.Client
 	serial atomic.Int64
-	entry  int // the node that requests are sent to
+	entry  int // index of the node that requests are sent to
 }
 
-// newCatalogMesh starts nodes. Requests go to the first.
+// newCatalogMesh starts nodes. Requests go to the first one.
 func newCatalogMesh(t testing.TB, count int) *catalogMesh {
 	m := &catalogMesh{t: t, client: &http.Client{Transport: &http.Transport{}}}
 	t.Cleanup(m.client.CloseIdleConnections)
@@ -268,7 +268,7 @@
 	return node
 }
 
-// publish gives each node its view. Change may alter the route.
+// publish stores a view in each node. change may alter its routes.
 func (m *catalogMesh) publish(change func(*snapshot.Route)) {
 	for own, node := range m.nodes {
 		var endpoints []snapshot.Endpoint
@@ -296,7 +296,7 @@
 	}
 }
 
-// onlyFirstWorker lets a node know of the first worker alone.
+// onlyFirstWorker removes all workers but the first from a node's view.
 func (m *catalogMesh) onlyFirstWorker(node int) {
 	view, _ := m.nodes[node].holder.Current(time.Now())
 	for _, route := range view.Routes {
@@ -304,7 +304,7 @@
 	}
 }
 
-// call sends a request to the first node and reads the whole answer.
+// call sends a request to the entry node and reads the whole response.
 func (m *catalogMesh) call(method, path, body string, headers ...string) (*http.Response, string, error) {
 	m.t.Helper()
 	request, err := http.NewRequest(method, m.nodes[m.entry].outbound+path, strings.NewReader(body))
@@ -333,7 +333,7 @@
 	return total
 }
 
-// script gives the same script to all workers.
+// script sets the same script for all workers.
 func (m *catalogMesh) script(behaviours ...string) {
 	for _, node := range m.nodes {
 		node.worker.mutex.Lock()
--- a/internal/traffic/classify.go
+++ b/internal/traffic/classify.go
@@ -17,7 +17,8 @@
 	return host
 }
 
-// malformed names what keeps a request from being forwarded, "" if nothing does.
+// malformed returns the correction that a request needs before it can be forwarded, "" if it
+// needs none.
 func malformed(request *http.Request) string {
 	switch {
 	case !request.ProtoAtLeast(1, 1):
--- a/internal/traffic/conn.go
+++ b/internal/traffic/conn.go
@@ -11,9 +11,9 @@
 	"sliphead/internal/fault"
 )
 
-// sealedConn is a connection that counts what is written and read and can be
-// sealed: once sealed it writes nothing more. So the answer to "did any byte
-// of this request leave?" stays true after it was given.
+// sealedConn is a connection that counts the bytes written and read, and that can be sealed: a
+// sealed connection writes nothing more. The number of bytes written is therefore final once
+// seal has returned it.
 type sealedConn struct {
 	net.Conn
 	received atomic.Int64
@@ -29,15 +29,17 @@
 	return count, err
 }
 
-// Write implements net.Conn. The bytes count before they are written.
+// Write implements net.Conn. The bytes are counted before they are written.
 func (c *sealedConn) Write(data []byte) (int, error) {
-	if !c.begin(len(data)) {
-		return 0, fault.New(fault.Internal, "send the request again if it may be repeated", "the connection was given up")
+	if !c.countWrite(len(data)) {
+		return 0, fault.New(fault.Internal, "send the request again if it may be repeated", "the connection was sealed after a failed attempt")
 	}
 	return c.Conn.Write(data)
 }
 
-func (c *sealedConn) begin(length int) bool {
+// countWrite counts bytes that are about to be written, and returns false if the connection is
+// sealed.
+func (c *sealedConn) countWrite(length int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.sealed {
@@ -47,14 +49,14 @@
 	return true
 }
 
-// count returns the bytes written so far.
-func (c *sealedConn) count() int64 {
+// bytesWritten returns the number of bytes written so far.
+func (c *sealedConn) bytesWritten() int64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.written
 }
 
-// seal stops all writes and returns the bytes written until then.
+// seal stops all writes and returns the number of bytes written before.
 func (c *sealedConn) seal() int64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -62,8 +64,8 @@
 	return c.written
 }
 
-// sealedDial wraps the connections of a dialer and bounds the time to open one,
-// so that time is left to try another node.
+// sealedDial wraps the connections of a dialer and bounds the time to open one, so that time
+// remains to attempt another node.
 func sealedDial(dial DialFunc, timeout time.Duration) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -76,58 +78,58 @@
 	}
 }
 
-// sending watches one request on its way out. The transport of net/http may
-// send a request again by itself when a reused connection dies, also one with
-// an Idempotency-Key header; sending lets no second connection be written to
-// once a byte went out on the first.
-type sending struct {
-	trace httptrace.ClientTrace
-	conn  *sealedConn
-	base  int64 // bytes written on conn before this request
-	heard int64 // bytes read on conn before this request
-	wrote bool  // whether an earlier connection took bytes
+// writeTracker tracks whether bytes of one request were sent. The transport of net/http may
+// resend a request by itself when a reused connection fails, including one with an
+// Idempotency-Key header; once a byte was sent on one connection, writeTracker prevents writes
+// on a second one.
+type writeTracker struct {
+	trace            httptrace.ClientTrace
+	conn             *sealedConn
+	writtenBefore    int64 // bytes written on conn before this request
+	receivedBefore   int64 // bytes read on conn before this request
+	earlierConnWrote bool  // whether bytes were written on an earlier connection
 }
 
-func newSending() *sending {
-	s := &sending{}
+func newSending() *writeTracker {
+	s := &writeTracker{}
 	s.trace.GotConn = s.gotConn
 	return s
 }
 
-// gotConn runs on the goroutine of the round trip.
-func (s *sending) gotConn(info httptrace.GotConnInfo) {
+// gotConn is called by the transport on the goroutine of the round trip.
+func (s *writeTracker) gotConn(info httptrace.GotConnInfo) {
 	conn, ok := info.Conn.(*sealedConn)
 	if !ok {
-		s.wrote = true
+		s.earlierConnWrote = true
 		return
 	}
-	if s.left() {
-		s.wrote = true
+	if s.mayHaveSent() {
+		s.earlierConnWrote = true
 		conn.seal()
 	}
 	s.conn = conn
-	s.base = conn.count()
-	s.heard = conn.received.Load()
+	s.writtenBefore = conn.bytesWritten()
+	s.receivedBefore = conn.received.Load()
 }
 
-// stale reports whether the answer had come before the request was sent: it is
-// left over from another request on the connection.
-func (s *sending) stale() bool {
-	return s.conn != nil && s.conn.received.Load() == s.heard
+// stale reports whether the response arrived before the request was sent, so that it belongs
+// to an earlier request on the connection.
+func (s *writeTracker) stale() bool {
+	return s.conn != nil && s.conn.received.Load() == s.receivedBefore
 }
 
-// abandon closes the connection: its answers no longer match its requests.
-func (s *sending) abandon() {
+// abandon closes the connection, because its responses no longer match its requests.
+func (s *writeTracker) abandon() {
 	if s.conn != nil {
 		_ = s.conn.Close()
 	}
 }
 
-// left reports whether any byte of the request may have left, and sees to it
-// that none leaves later. It is called when the round trip has failed.
-func (s *sending) left() bool {
+// mayHaveSent reports whether any byte of the request may have been sent, and prevents later
+// writes. It is called when the round trip has failed.
+func (s *writeTracker) mayHaveSent() bool {
 	if s.conn == nil {
-		return s.wrote
+		return s.earlierConnWrote
 	}
-	return s.conn.seal() > s.base || s.wrote
+	return s.conn.seal() > s.writtenBefore || s.earlierConnWrote
 }
--- a/internal/traffic/dispatch_fuzz_test.go
+++ b/internal/traffic/dispatch_fuzz_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// misbehaviours are what workers of the fuzz do, well behaved included.
-var misbehaviours = []string{"", "", "", "shed", "error", "close", "reset", "garbage", "unsigned", "half", "late", "extra", "unframed", "unframed-reset"}
+// workerFaults are the behaviours of the workers of the fuzz test, good ones included.
+var workerFaults = []string{"", "", "", "shed", "error", "close", "reset", "garbage", "unsigned", "half", "late", "extra", "unframed", "unframed-reset"}
 
 // runsOf counts the runs of one request at all workers.
 func (m *catalogMesh) runsOf(id string) int {
@@ -28,14 +28,14 @@
 	return count
 }
 
-// Whatever workers do, in any mixture and order, also when one's instance has
-// changed: a request that may not be repeated runs once at most, a refusal means
-// that it did not run, and a success is the whole answer to the same request.
-func TestDispatchUnderMixedMisbehaviour(t *testing.T) {
+// For any sequence of worker faults on any node, a request that must not be repeated runs at
+// most once, a refusal means that it did not run, and a success is the complete response to
+// that request.
+func TestDispatchUnderMixedWorkerFaults(t *testing.T) {
 	m := newCatalogMesh(t, 3)
 	rapid.Check(t, func(r *rapid.T) {
 		for _, node := range m.nodes {
-			script := rapid.SliceOfN(rapid.SampledFrom(misbehaviours), 0, 3).Draw(r, "script")
+			script := rapid.SliceOfN(rapid.SampledFrom(workerFaults), 0, 3).Draw(r, "script")
 			node.worker.mutex.Lock()
 			node.worker.script = slices.Clone(script)
 			node.worker.mutex.Unlock()
@@ -71,5 +71,5 @@
 	})
 }
 
-// longBody is sent beside the answer.
+// longBody is long enough to be sent concurrently with the response.
 var longBody = string(slices.Repeat([]byte("cards "), directBody))
--- a/internal/traffic/dispatch_test.go
+++ b/internal/traffic/dispatch_test.go
@@ -17,9 +17,9 @@
 	"sliphead/internal/traffic/admission"
 )
 
-// The request reaches a worker unchanged but for what the system sets, and the
-// answer comes back unchanged.
-func TestDispatchPassesRequestAndAnswer(t *testing.T) {
+// The request reaches a worker unchanged except for the headers that sliphead sets, and the
+// response is forwarded unchanged.
+func TestDispatchForwardsRequestAndResponse(t *testing.T) {
 	m := newCatalogMesh(t, 2)
 	response, text, err := m.call("POST", "/order/a?b=c", "wedding cards",
 		testProtocol.CallerService, "forged", testProtocol.TargetInstance, "forged", "Sliphead-Attempt", "forged", "X-Other", "kept")
@@ -36,9 +36,9 @@
 	must.Eq(t, "", got.Header.Get("Sliphead-Attempt"))
 }
 
-// Whatever a worker does, a request that may not be repeated runs once at most,
-// a refusal means that it did not run, and a success is the worker's own.
-func TestDispatchEndings(t *testing.T) {
+// For each worker fault, a request that must not be repeated runs at most once, a refusal
+// means that it did not run, and a success is the worker's own response.
+func TestDispatchOutcomeByWorkerFault(t *testing.T) {
 	for _, behaviour := range []string{"", "shed", "error", "close", "reset", "garbage", "unsigned", "half", "late", "extra", "unframed", "unframed-reset"} {
 		for _, method := range []string{"GET", "POST", "POST-long"} {
 			for _, path := range []string{"/lookup/", "/order/"} {
@@ -80,10 +80,10 @@
 	}
 }
 
-// A worker's own failure is kept back while another worker may do better, and
-// the caller gets one answer: at first, giving a failed try up wrote the kept
-// answer under the second worker's.
-func TestDispatchAnswersOnceAfterAFailure(t *testing.T) {
+// The error response of a worker is retained while another worker may do better, and the
+// caller gets exactly one response. Fault: ending a failed attempt wrote the retained response
+// after that of the second worker.
+func TestDispatchSendsOneResponseAfterWorkerFailure(t *testing.T) {
 	m := newCatalogMesh(t, 3)
 	m.nodes[0].worker.script = []string{"error"}
 	m.nodes[1].worker.script = []string{"close"}
@@ -100,9 +100,9 @@
 	}
 }
 
-// An answer that comes before the body has gone out is passed on, and the
-// connection carries no other request.
-func TestDispatchTakesAnEarlyAnswer(t *testing.T) {
+// A response that arrives before the body has been sent is forwarded, and the connection is
+// not reused.
+func TestDispatchForwardsEarlyResponse(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	defer close(m.nodes[0].worker.gate)
 	m.script("early")
@@ -115,9 +115,9 @@
 	must.Eq(t, http.StatusOK, response.StatusCode)
 }
 
-// Whatever becomes of a request, no endpoint is taken to be busy with it
-// afterwards: those given up for lack of retry budget were counted for good.
-func TestDispatchLeavesNothingInFlight(t *testing.T) {
+// No endpoint counts a request as in flight after it has ended. Fault: requests that were
+// refused for lack of retry budget remained counted.
+func TestDispatchReleasesInFlightCounts(t *testing.T) {
 	m := newCatalogMesh(t, 3)
 	for _, node := range m.nodes {
 		node.out.budget = newServiceBudget(Limits{}) // no retries at all
@@ -133,8 +133,8 @@
 	}
 }
 
-// A body of unknown length reaches the worker whole.
-func TestDispatchTakesAChunkedBody(t *testing.T) {
+// A body of unknown length reaches the worker complete.
+func TestDispatchForwardsChunkedBody(t *testing.T) {
 	m := newCatalogMesh(t, 2)
 	text := strings.Repeat("artwork ", 1<<14)
 	request, err := http.NewRequest("POST", m.nodes[0].outbound+"/order/", io.MultiReader(strings.NewReader(text)))
@@ -149,8 +149,8 @@
 	must.True(t, body == text)
 }
 
-// A node whose worker has left refuses, and the request runs elsewhere.
-func TestDispatchPassesOverALeavingWorker(t *testing.T) {
+// A node whose worker drains refuses the request, which then runs at another worker.
+func TestDispatchSkipsDrainingWorker(t *testing.T) {
 	m := newCatalogMesh(t, 2)
 	view, _ := m.nodes[0].holder.Current(time.Now())
 	leaving := *view
@@ -162,12 +162,13 @@
 	must.Zero(t, m.nodes[0].worker.runs())
 }
 
-// A request that waits for a slot while its worker leaves runs elsewhere. It was
-// granted the slot of a worker that had left more than two seconds before.
-func TestDispatchLeavesTheQueueOfALeavingWorker(t *testing.T) {
+// A request that waits for a slot when its worker begins to drain is refused at once, so that
+// it can run at another worker. Fault: it was granted a slot of a worker that had left more
+// than two seconds before.
+func TestQueuedRequestIsRefusedWhenWorkerDrains(t *testing.T) {
 	m := newCatalogMesh(t, 2)
 	m.nodes[0].worker.script = []string{"wait", "wait"}
-	m.onlyFirstWorker(0) // both slots of the first worker are taken, and one request waits
+	m.onlyFirstWorker(0) // two requests take both slots of the first worker, the third one waits
 	statuses := make(chan int, 3)
 	for sent := range 3 {
 		go func() {
@@ -183,23 +184,23 @@
 	leaving.Local.Draining = true
 	m.nodes[0].holder.Store(&leaving)
 	m.nodes[0].in.LocalChanged()
-	must.Eq(t, http.StatusServiceUnavailable, <-statuses) // its view knew of no other worker
+	must.Eq(t, http.StatusServiceUnavailable, <-statuses) // its view had no other worker
 	close(m.nodes[0].worker.gate)
 	must.Eq(t, http.StatusOK, <-statuses)
 	must.Eq(t, http.StatusOK, <-statuses)
 	must.Eq(t, 2, m.nodes[0].worker.runs())
 }
 
-// A request whose body takes so long to come that the worker leaves meanwhile is
-// refused as not run: it reached a leaving worker later than it may.
-func TestWorkerLeavesWhileABodyComes(t *testing.T) {
+// A request whose worker begins to drain while the body is received is refused as not run.
+// Fault: such requests reached a draining worker later than allowed.
+func TestRequestIsRefusedWhenWorkerDrainsDuringBody(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	node := m.nodes[0]
 	body, sender := io.Pipe()
 	request := httptest.NewRequest("POST", "/order/", body)
 	request.ContentLength = int64(len("cards"))
-	told := hopRequest{attempt: "t-1", instance: node.worker.id, caller: "shop", route: "order", class: class{rank: 1}}
-	request.Header.Set(hopHeader, told.encode())
+	hopFields := hopRequest{attempt: "t-1", instance: node.worker.id, caller: "shop", route: "order", class: class{rank: 1}}
+	request.Header.Set(hopHeader, hopFields.encode())
 	request.Header.Set(testProtocol.RequestID, "r-1")
 	request.Header.Set(testProtocol.Deadline, "20000")
 	request.Header.Set("Expect", "100-continue")
@@ -220,13 +221,13 @@
 	must.NoError(t, sender.Close())
 	<-ended
 	must.Eq(t, http.StatusServiceUnavailable, recorder.Code)
-	must.Eq(t, outcome.NotRun, decodeHopAnswer(recorder.Header().Get(hopHeader)).outcome)
+	must.Eq(t, outcome.NotRun, decodeHopReply(recorder.Header().Get(hopHeader)).outcome)
 	must.Zero(t, node.worker.runs())
 }
 
-// A worker that says that it is another instance is asked once: the record of the
-// one before stays in the catalog for seconds after a crash.
-func TestDispatchBelievesAMisdirectedAnswer(t *testing.T) {
+// A worker that responds that it is another instance is not called again for the old one.
+// After a crash, the record of the old instance remains in the catalog for seconds.
+func TestReplacedWorkerIsCalledOnce(t *testing.T) {
 	m := newCatalogMesh(t, 2)
 	m.nodes[0].worker.mutex.Lock()
 	m.nodes[0].worker.id = "i-new"
@@ -235,18 +236,18 @@
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode)
 	m.onlyFirstWorker(1)
-	m.entry = 1 // another node, which knows nothing of that answer
+	m.entry = 1 // another node, which has not received that response
 	response, _, err = m.call("POST", "/order/", "cards")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
-	must.Eq(t, 1, m.nodes[0].worker.refused())
+	must.Eq(t, 1, m.nodes[0].worker.misdirectedCount())
 	must.Zero(t, m.nodes[0].worker.runs())
 }
 
-// A worker whose record is gone without a word of leaving is sent requests for a
-// time, and for as long as the node beside it retains it. Who asks otherwise is
-// refused as not run.
-func TestLapsedWorker(t *testing.T) {
+// A worker whose record was removed although it did not announce a drain is sent requests
+// until the record expires, and beyond that while the node beside it retains it. Other
+// requests are refused as not run.
+func TestLapsedWorkerServesUntilExpiryOrWhileRetained(t *testing.T) {
 	m := newCatalogMesh(t, 2)
 	lapse := func(until time.Time) {
 		for own, node := range m.nodes {
@@ -279,8 +280,8 @@
 	must.Eq(t, 2, m.runs())
 }
 
-// A node that knows no configuration answers 503, never 404.
-func TestDispatchWithoutConfiguration(t *testing.T) {
+// A node without a configuration responds 503, never 404.
+func TestDispatchWithoutConfigurationReturns503(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	m.nodes[0].holder.Store(nil)
 	response, _, err := m.call("GET", "/lookup/", "")
@@ -288,18 +289,18 @@
 	must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
 }
 
-// A stopping node takes what ends in time and refuses the rest as not run. It
-// took all, and cut what still ran at its end.
-func TestStoppingNodeTakesWhatEndsInTime(t *testing.T) {
+// A stopping node accepts requests that end before it does, and refuses others as not run.
+// Fault: it accepted all requests and interrupted those that were still running when it ended.
+func TestStoppingNodeAcceptsOnlyRequestsThatFit(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	for _, step := range []struct {
 		strict, end time.Duration
 		status      int
 	}{
-		{time.Minute, time.Minute, http.StatusOK},                 // the objective fits
-		{time.Minute, time.Second, http.StatusServiceUnavailable}, // the objective does not fit
-		{0, time.Minute, http.StatusOK},                           // the caller's 20 s fit
-		{0, 10 * time.Second, http.StatusServiceUnavailable},      // they do not
+		{time.Minute, time.Minute, http.StatusOK},                 // the latency objective fits
+		{time.Minute, time.Second, http.StatusServiceUnavailable}, // the latency objective does not fit
+		{0, time.Minute, http.StatusOK},                           // the caller's deadline of 20 s fits
+		{0, 10 * time.Second, http.StatusServiceUnavailable},      // the caller's deadline does not fit
 	} {
 		now := time.Now()
 		m.nodes[0].out.LeaveBy(now.Add(step.strict), now.Add(step.end))
@@ -310,8 +311,9 @@
 	must.Eq(t, 2, m.runs())
 }
 
-// A node that ends gives what still runs its final answer: it cut the connection.
-func TestEndingNodeAnswers(t *testing.T) {
+// A node that ends sends a final response for requests that are still running. Fault: it cut
+// their connections.
+func TestEndingNodeSendsFinalResponse(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	defer close(m.nodes[0].worker.gate)
 	m.script("wait")
@@ -330,7 +332,7 @@
 }
 
 // Each service gets its share of a route's requests.
-func TestWeightsKeepTheirShares(t *testing.T) {
+func TestWeightsDistributeByShare(t *testing.T) {
 	w := newWeights(rand.New(rand.NewPCG(7, 7)))
 	route := &snapshot.Route{Targets: []snapshot.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	counts := map[string]int{}
@@ -341,10 +343,11 @@
 	must.Eq(t, map[string]int{"a": 90, "b": 10}, counts)
 }
 
-// The first requests of many nodes are shared as the later ones are, also after a change
-// of the weights: each of 83 nodes that began with the largest service sent its first
-// four requests there, and a service of a tenth got none of the mesh's first 300.
-func TestSharesHoldOverTheFirstRequestsOfAMesh(t *testing.T) {
+// The first requests of many nodes are distributed by the weights, also after a change of the
+// weights. Fault: all of 83 nodes started with the service of the largest weight and sent it
+// their first four requests, so that a service with a weight of one tenth got none of the
+// first 300 requests of the mesh.
+func TestWeightsHoldOverFirstRequestsOfMesh(t *testing.T) {
 	for seed := range uint64(20) {
 		nodes := make([]*weights, 83)
 		for index := range nodes {
@@ -365,9 +368,9 @@
 	}
 }
 
-// heldLink stands in front of a node and passes nothing on before its release:
-// a link whose queue is long.
-func heldLink(t *testing.T, to string, release <-chan struct{}) string {
+// blockedLink accepts connections for a node and forwards nothing before release is closed,
+// like a link with a long queue.
+func blockedLink(t *testing.T, to string, release <-chan struct{}) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -393,10 +396,10 @@
 	return listener.Addr().String()
 }
 
-// A request that can go to no second worker waits for a node that says nothing
-// for a while: it was answered 502 though its answer was on the way, and a
-// worker was cut off at its work.
-func TestDispatchWaitsWhereItCanGoNowhereElse(t *testing.T) {
+// A request that cannot be sent to a second worker waits for a node that has not acknowledged
+// it yet. Fault: it ended with 502 although the response was on its way, and a worker was
+// interrupted.
+func TestDispatchWaitsForSlowNodeWithoutAlternative(t *testing.T) {
 	for name, change := range map[string]func(*snapshot.Route){
 		"attempts": func(route *snapshot.Route) { route.MaxAttempts = 1 },
 		"budget":   func(*snapshot.Route) {},
@@ -407,11 +410,11 @@
 			if name == "budget" {
 				m.nodes[0].out.budget = newServiceBudget(Limits{})
 			}
-			if name == "stopping" { // where a given up try counts as cut
+			if name == "stopping" { // an abandoned attempt would count as cut
 				m.nodes[0].out.LeaveBy(time.Now().Add(time.Hour), time.Now().Add(time.Hour))
 			}
 			release := make(chan struct{})
-			slow := heldLink(t, m.nodes[1].inbound, release)
+			slow := blockedLink(t, m.nodes[1].inbound, release)
 			m.publish(func(route *snapshot.Route) {
 				change(route)
 				far := route.Targets[0].Endpoints[1]
@@ -419,7 +422,7 @@
 				route.Targets[0].Endpoints = []snapshot.Endpoint{far, far}
 				route.Targets[0].Endpoints[1].Worker, route.Targets[0].Endpoints[1].Zone = "i-none", "z2"
 			})
-			time.AfterFunc(2*mostSilent, func() { close(release) })
+			time.AfterFunc(2*maxAckTimeout, func() { close(release) })
 			response, text, err := m.call("GET", "/lookup/", "")
 			must.NoError(t, err)
 			must.Eq(t, http.StatusOK, response.StatusCode)
@@ -429,10 +432,10 @@
 	}
 }
 
-// A request that outranks what holds the slots waits for one to its deadline:
-// while long runs of a less urgent route held them all, short calls between
-// services were refused, and what had made them failed.
-func TestOutrankingRequestWaitsToItsDeadline(t *testing.T) {
+// A request of a higher priority than the running ones queues until its deadline. Fault: while
+// long runs of a lower-priority route held all slots, short calls between services were
+// refused, and the runs that had made them failed.
+func TestHigherPriorityRequestQueuesUntilDeadline(t *testing.T) {
 	for rank, status := range map[int]int{1: http.StatusOK, 3: http.StatusServiceUnavailable} {
 		m := newCatalogMesh(t, 1)
 		m.publish(func(route *snapshot.Route) {
@@ -457,23 +460,23 @@
 	}
 }
 
-// A node that says nothing for a while is not given up when another is tried
-// beside it: the first answer counts, and the other worker is cut off.
-func TestDispatchTakesTheFirstAnswerOfTwo(t *testing.T) {
+// An attempt at an unresponsive node stays pending when another node is attempted: the first
+// response is forwarded, and the other attempt is cancelled.
+func TestHedgedDispatchForwardsFirstResponse(t *testing.T) {
 	m := newCatalogMesh(t, 3)
-	m.nodes[0].in.Drain() // its own worker takes nothing
+	m.nodes[0].in.Drain() // its own worker accepts no requests
 	release := make(chan struct{})
-	slow := heldLink(t, m.nodes[1].inbound, release)
+	slow := blockedLink(t, m.nodes[1].inbound, release)
 	never := make(chan struct{})
 	t.Cleanup(func() { close(never) })
-	dead := heldLink(t, m.nodes[2].inbound, never)
+	dead := blockedLink(t, m.nodes[2].inbound, never)
 	m.publish(func(route *snapshot.Route) {
 		first, second := route.Targets[0].Endpoints[1], route.Targets[0].Endpoints[2]
 		first.Address, first.Local = slow, false
-		second.Address, second.Local, second.Zone = dead, false, "z2" // tried second
+		second.Address, second.Local, second.Zone = dead, false, "z2" // attempted second
 		route.Targets[0].Endpoints = []snapshot.Endpoint{first, second}
 	})
-	time.AfterFunc(3*mostSilent, func() { close(release) })
+	time.AfterFunc(3*maxAckTimeout, func() { close(release) })
 	response, text, err := m.call("GET", "/lookup/", "")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode)
@@ -482,9 +485,9 @@
 	must.Eq(t, 1, m.nodes[1].worker.runs())
 }
 
-// A caller that comes back is refused for good if it is refused again: it waits to its
-// deadline where a new one is sent away with a time to come back at.
-func TestDispatchLetsReturnedCallersWait(t *testing.T) {
+// A caller that retries after a refusal does not retry again, so its request queues until its
+// deadline, where a first request would be refused with Retry-After.
+func TestRetryingCallerQueuesUntilDeadline(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	m.publish(func(route *snapshot.Route) {
 		route.Objective = time.Millisecond
--- a/internal/traffic/decision.go
+++ b/internal/traffic/ending_log.go
@@ -10,17 +10,17 @@
 	"sliphead/internal/outcome"
 )
 
-// tellEnd logs how a request ended that was not answered: what decided it, how
-// old that knowledge was, and what the caller was told. Requests that were
-// answered are counted, not logged.
-func (m *metrics) tellEnd(x *exchange, ended result) {
-	fields := x.decisionFields(m.side)
+// logEnd logs how a request without a worker's response ended: what decided it, the age of the
+// data behind the decision, and what the caller was sent. Requests with a response are
+// counted, not logged.
+func (m *metrics) logEnd(x *exchange, ended result) {
+	fields := x.logFields(m.side)
 	fields["cause"] = string(ended.cause)
 	fields["status"] = ended.status
 	fields["remedy"] = ended.remedy
 	if ended.cause == causeQuarantine || ended.cause == causeBroken && m.side == "inbound" {
-		// Copies of a request come under other ids: only this tells that the same one
-		// was at several workers that ended.
+		// Copies of a request have different ids: the fingerprint alone shows that the same
+		// request was at several workers that crashed.
 		fields["fingerprint"] = x.fingerprint().String()
 	}
 	switch {
@@ -28,7 +28,7 @@
 		m.logger.WithFields(fields).Warn("request.unknown")
 	case ended.outcome == outcome.Answered:
 	case m.side == "inbound" && (ended.cause == causeFull || ended.cause == causeQueue || ended.cause == causeLimit || ended.cause == causeLeaving):
-		// The caller's node goes on to another; it logs the end if there is none.
+		// The caller's node attempts another worker, and logs the end if there is none.
 	case ended.status == http.StatusServiceUnavailable:
 		fields["retry_after_ms"] = ended.retryAfter.Milliseconds()
 		m.logger.WithFields(fields).Info("request.refused")
@@ -37,20 +37,21 @@
 	}
 }
 
-// tellRetry logs that a try failed which may be followed by another.
-func (d *dispatch) tellRetry(failure *result) {
+// logRetry logs a failed attempt that may be followed by another.
+func (d *dispatch) logRetry(failure *result) {
 	if failure.cause == causeFull || failure.cause == causeQueue || failure.cause == causeLimit || failure.cause == causeLeaving || failure.cause == causeRefused && !failure.arrived {
-		return // nothing but an offer was lost
+		return // the request reached no worker
 	}
-	fields := d.x.decisionFields("outbound")
+	fields := d.x.logFields("outbound")
 	fields["cause"] = string(failure.cause)
 	fields["outcome"] = string(failure.outcome)
 	fields["may_repeat"] = d.mayRepeat()
 	d.out.config.Logger.WithFields(fields).Info("request.retried")
 }
 
-// decisionFields name the request and what the node goes by.
-func (x *exchange) decisionFields(side string) log.Fields {
+// logFields returns the fields that identify the request and the state of the node that
+// decided on it.
+func (x *exchange) logFields(side string) log.Fields {
 	fields := logging.Fields{"side": side, "request": x.id, "held_ms": time.Since(x.started).Milliseconds()}
 	if x.route != nil {
 		fields["route"] = x.route.Name
--- a/internal/traffic/exchange.go
+++ b/internal/traffic/exchange.go
@@ -17,115 +17,115 @@
 type exchange struct {
 	writer  http.ResponseWriter
 	request *http.Request
-	context context.Context // ends with the caller's connection and at the deadline
+	context context.Context // ends when the caller disconnects and at the deadline
 	started time.Time
 	view    *snapshot.View
 	route   *snapshot.Route
 
 	id       string // request id, the same on all levels of the call tree
-	attempt  string // names this try of the caller's node; set by inbound
+	attempt  string // id of this attempt of the caller's node; set by inbound
 	deadline time.Time
-	given    time.Duration // by the caller, whatever the route allows; 0: not told
+	given    time.Duration // time that the caller allows, regardless of the route; 0: none given
 	budget   int           // retries left, in thousandths
 	depth    int           // level in the call tree, from 0
 	body     body
 
 	// With a catalog.
-	closing       bool                     // whether the caller's connection ends with the answer
-	offers        int                      // nodes that it was offered to
-	attempts      int                      // workers that it was sent to
-	onSign        func(took time.Duration) // called at the first sign of the next hop, with its time since the request went out; nil: nobody asks
-	onSilence     func()                   // called in place of giving a silent node up; nil: it is given up
-	instance      string                   // id of the instance that is to run the request
-	tenant        credential
-	knowledgeAge  time.Duration // of this node's configuration, where it decided whether a caller is let in; 0: it didn't
-	caller        string        // service beside the node that took the request
-	class         class
-	internal      bool             // whether only runs of other services call its route, as far as is known
-	sent          time.Time        // when the local worker was sent it
-	callFailed    bool             // whether calls of the local worker failed while it ran the request
-	repeat        bool             // whether a worker has had it before
-	limitReported workerlimit.Told // the limit of the worker, as its caller's node has heard it
-	callOfRun     bool             // whether a run of the local worker makes it, as far as is known
-	lastChance    bool             // whether nobody sends it again if it is refused
-	trialOwner    string           // instance that alone may run it, since it is on trial in the quarantine; "": any
-	protocol      *Protocol        // of the callers; nil: sliphead's own
-	between       bool             // whether it came from another node of a catalog's mesh
-	elsewhere     bool             // whether the caller's node knows of another endpoint that seems to be free
-	roundTrip     time.Duration    // to the node that it is offered to
-	measured      bool             // whether that is known, and not only assumed
-	moveTime      time.Duration    // with elsewhere: what going on to another endpoint takes, so that a shorter wait is better
-	bodyAwaited   bool             // whether the body is still to be asked for
-	signal        bool             // whether the caller's node waits for a sign that the request has come
-
-	wholeUnframed  bool                // whether an answer without a length is taken, once it has ended in order
-	concurrentBody bool                // whether a long whole body is written while the answer is read
-	smallAnswer    int64               // answers up to this many bytes are read whole
+	closing           bool                     // whether the caller's connection is closed after the response
+	offers            int                      // nodes to which it was offered
+	attempts          int                      // workers to which it was sent
+	onAck             func(took time.Duration) // called at each acknowledgement of the next hop, with the time since the request was sent; may be nil
+	onAckTimeout      func()                   // called instead of abandoning an unresponsive node; nil: the node is abandoned
+	instance          string                   // id of the instance that is to run the request
+	tenant            credential
+	knowledgeAge      time.Duration // age of this node's configuration, where it decided whether a caller is accepted; 0: it did not
+	caller            string        // service beside the node that received the request
+	class             class
+	internal          bool             // whether its route is called only by runs of other services, as far as this node has observed
+	sent              time.Time        // when it was sent to the local worker
+	callFailed        bool             // whether calls of the local worker failed while it ran the request
+	repeat            bool             // whether a worker has received it before
+	limitReported     workerlimit.Told // limit of the worker, as the caller's node last received it
+	callOfRun         bool             // whether a run of the local worker makes it, as far as this node has observed
+	lastChance        bool             // whether nobody sends it again if it is refused
+	trialOwner        string           // only instance that may run it while it is on trial in the quarantine; "": any
+	protocol          *Protocol        // of the callers; nil: sliphead's own
+	fromNode          bool             // whether it came from another node of a catalog's mesh
+	elsewhere         bool             // whether the caller's node has another endpoint that seems to be free
+	roundTrip         time.Duration    // round-trip time to the node that it is offered to
+	roundTripMeasured bool             // whether roundTrip was measured rather than assumed
+	rerouteTime       time.Duration    // if there is one: time to reach it; a shorter wait in the queue is better
+	bodyAwaited       bool             // whether the body has not been requested from the sender yet
+	signal            bool             // whether the caller's node waits for an acknowledgement that the request has arrived
+
+	wholeUnframed  bool                // whether a response without a length is accepted if its connection was closed without an error
+	concurrentBody bool                // whether a long buffered body is written while the response is read
+	smallAnswer    int64               // responses up to this many bytes are buffered
 	load           func() balance.Load // the local worker's load; nil at outbound
 	granted        chan struct{}       // closed when the wait for a slot is decided
 }
 
-// result is how a request ended. A result that was not passed on yet becomes
-// the final answer.
+// result states how a request ended. A result that was not forwarded yet becomes the final
+// response.
 type result struct {
 	outcome       outcome.Outcome
 	status        int
 	cause         cause
 	remedy        string
 	retryAfter    time.Duration
-	sent          bool    // whether the answer's header was passed on
-	cut           bool    // whether the answer has to be cut because it is not whole
-	final         bool    // whether a level below has already spent its retries
+	sent          bool    // whether the header of the response was forwarded
+	cut           bool    // whether the connection has to be cut because the forwarded response is incomplete
+	final         bool    // whether a lower level of the call tree has already spent its retries
 	arrived       bool    // whether it reached a worker, which then refused it
-	rejected      bool    // whether that worker is the one that was meant, and takes others
-	crashedBefore bool    // whether this is not the first worker that ended while it ran the request
-	answer        *answer // a whole answer that is still to be passed on
+	rejected      bool    // whether the worker that it was meant for refused it while accepting others
+	crashedBefore bool    // whether an earlier worker also crashed while running the request
+	answer        *answer // a complete response that is still to be forwarded
 }
 
-// asked is what the request asks, the same for all its copies. Of a body that streams
-// nothing is known: with a catalog bodies are held whole.
+// asked returns the content that identifies all copies of the request. The body is empty for a
+// streamed one; with a catalog, bodies are buffered.
 func (x *exchange) asked() *quarantine.Request {
 	return &quarantine.Request{Method: x.request.Method, Host: strings.ToLower(hostOf(x.request)), Target: x.request.URL.RequestURI(), Body: x.body.whole}
 }
 
-// fingerprint names all copies of the request.
+// fingerprint returns the fingerprint that all copies of the request share.
 func (x *exchange) fingerprint() quarantine.Fingerprint { return x.asked().Fingerprint() }
 
-// cause is the bounded label under which endings are counted.
+// cause is the bounded metric label under which results are counted.
 type cause string
 
-// The causes of endings.
+// Causes of results other than a complete response.
 const (
-	causeNone       cause = "none"
-	causeDraining   cause = "draining"
-	causeLease      cause = "lease"
-	causeRoute      cause = "route"
-	causeMalformed  cause = "malformed"
-	causeDepth      cause = "depth"
-	causeDeadline   cause = "deadline"
-	causeEndpoints  cause = "endpoints"
-	causeNotLocal   cause = "not-local"
-	causeQueue      cause = "queue"
-	causeFull       cause = "full"
-	causeNested     cause = "nested"
-	causeClaim      cause = "claim"
-	causeConnect    cause = "connect"
-	causeRefused    cause = "refused"
-	causeBroken     cause = "broken"
-	causeForeign    cause = "foreign"
-	causeUnframed   cause = "unframed"
-	causeCallerGone cause = "caller-gone"
-	causeSilent     cause = "silent"
-	causeLimits     cause = "limits"
-	causeShed       cause = "shed"
-	causeCold       cause = "cold"       // the worker is cold, and gets as much as it bears
-	causeLeaving    cause = "leaving"    // the worker has said that it leaves
-	causeLimit      cause = "limit"      // the worker names a limit, and gets as much as that
-	causeRegion     cause = "region"     // no worker in the regions that the route allows
-	causeKey        cause = "key"        // the caller gave no key of a tenant
-	causeStaleKeys  cause = "stale-keys" // this node has not heard lately which keys are in force
-	causeQuota      cause = "quota"      // the tenant has no room left in its limit
-	causeQuarantine cause = "quarantine" // workers ended under this request, it is sent to none
+	causeNone         cause = "none"
+	causeDraining     cause = "draining"
+	causeLease        cause = "lease"
+	causeRoute        cause = "route"
+	causeMalformed    cause = "malformed"
+	causeDepth        cause = "depth"
+	causeDeadline     cause = "deadline"
+	causeEndpoints    cause = "endpoints"
+	causeNotLocal     cause = "not-local"
+	causeQueue        cause = "queue"
+	causeFull         cause = "full"
+	causeNested       cause = "nested"
+	causeClaim        cause = "claim"
+	causeConnect      cause = "connect"
+	causeRefused      cause = "refused"
+	causeBroken       cause = "broken"
+	causeForeign      cause = "foreign"
+	causeUnframed     cause = "unframed"
+	causeCallerGone   cause = "caller-gone"
+	causeUnresponsive cause = "silent"
+	causeLimits       cause = "limits"
+	causeShed         cause = "shed"
+	causeCold         cause = "cold"       // the worker is cold and already receives its maximum rate
+	causeLeaving      cause = "leaving"    // the worker has announced that it drains
+	causeLimit        cause = "limit"      // the worker has reported a limit and already receives that rate
+	causeRegion       cause = "region"     // no worker in the regions that the route and the tenant allow
+	causeKey          cause = "key"        // the caller gave no valid key of a tenant
+	causeStaleKeys    cause = "stale-keys" // this node has no recent data on which keys are in force
+	causeQuota        cause = "quota"      // the tenant has used up its quota
+	causeQuarantine   cause = "quarantine" // workers crashed while running this request; it is sent to none
 )
 
 // stage handles an exchange; filter puts a step in front of a stage.
@@ -134,7 +134,7 @@
 	filter func(next stage) stage
 )
 
-// pipe joins filters, first to last, in front of the final stage.
+// pipe chains filters, first to last, in front of the final stage.
 func pipe(last stage, filters ...filter) stage {
 	joined := last
 	for index := len(filters) - 1; index >= 0; index-- {
@@ -143,8 +143,8 @@
 	return joined
 }
 
-// refuse returns the result of a request that did not run and may be sent
-// again after a while.
+// refuse returns the result of a request that did not run and may be sent again after
+// retryAfter, which is at least one second.
 func refuse(why cause, retryAfter time.Duration, remedy string) result {
 	return result{
 		outcome:    outcome.NotRun,
@@ -155,8 +155,8 @@
 	}
 }
 
-// reject returns the result of a request that did not run and will not run if
-// it is sent again unchanged.
+// reject returns the result of a request that did not run and would fail again if sent
+// unchanged.
 func reject(status int, why cause, remedy string) result {
 	return result{outcome: outcome.NotRun, status: status, cause: why, remedy: remedy}
 }
--- a/internal/traffic/header.go
+++ b/internal/traffic/header.go
@@ -9,28 +9,28 @@
 	"sliphead/internal/outcome"
 )
 
-// Headers between two nodes that no caller or worker sees, but for
-// attemptHeader, which is also shown to the worker.
+// Headers between two nodes. Callers and workers do not receive them, except for
+// attemptHeader, which is also sent to the worker.
 const (
-	// attemptHeader names one try of one request. The worker's node echoes it,
-	// so that the answer is matched to the try. A worker that refuses before
-	// running says so by 503, outcome not-run and this header echoed.
+	// attemptHeader names one attempt of one request. The worker's node echoes it, so that the
+	// response is matched to the attempt. A worker that refuses before running the request
+	// returns 503, outcome not-run and this header.
 	attemptHeader = outcome.Attempt
-	// finalHeader on a failure says that a level below spent its retries.
+	// finalHeader on a failure states that a lower level of the call tree has spent its
+	// retries.
 	finalHeader = "Sliphead-Final"
-	// internalPrefix starts the names of all headers of sliphead.
+	// internalPrefix is the prefix of all headers of sliphead.
 	internalPrefix = "Sliphead-"
 )
 
-// hopByHop lists the headers that end at each hop (RFC 9110, section 7.6.1,
-// and those that predate it).
+// hopByHop lists the hop-by-hop headers (RFC 9110, section 7.6.1, and those that predate it).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// copyEndToEnd copies the headers that are meant for the other end. Headers of
-// sliphead are left out: each hop sets its own.
+// copyEndToEnd copies the end-to-end headers. Headers of sliphead are omitted: each hop sets
+// its own.
 func copyEndToEnd(to, from http.Header) {
 	connection := from["Connection"]
 	for name, values := range from {
@@ -48,7 +48,7 @@
 	}
 }
 
-// contextFields returns the headers that tell the next hop the request's context.
+// contextFields returns the headers that carry the request's context to the next hop.
 func (x *exchange) contextFields() []field {
 	fields := make([]field, 0, usualFields)
 	return append(fields,
@@ -58,8 +58,8 @@
 		field{outcome.Depth, strconv.Itoa(x.depth)})
 }
 
-// fields sets headers of one value each. The values share an array, so that
-// not each costs an allocation.
+// fields sets headers of one value each. The values share an array, which saves an allocation
+// per header.
 type fields struct {
 	header http.Header
 	values []string
@@ -71,14 +71,14 @@
 	return &fields{header: header, values: make([]string, 0, usualFields)}
 }
 
-// set stores a value under a name that is already in canonical form.
+// set stores a value under a name in canonical form.
 func (f *fields) set(name, value string) {
 	f.values = append(f.values, value)
 	last := len(f.values)
 	f.header[name] = f.values[last-1 : last : last]
 }
 
-// get reads a value under a name that is already in canonical form.
+// get reads a value under a name in canonical form, "" if absent.
 func get(header http.Header, name string) string {
 	if values := header[name]; len(values) > 0 {
 		return values[0]
@@ -86,8 +86,8 @@
 	return ""
 }
 
-// number reads a header that holds a count, the fallback when it is absent or
-// nonsense.
+// number reads a header that holds a count, and returns the fallback if it is absent or
+// invalid.
 func number(header http.Header, name string, fallback int) int {
 	value, err := strconv.Atoi(get(header, name))
 	if err != nil || value < 0 {
@@ -98,7 +98,7 @@
 
 const maxIDLength = 64
 
-// validID reports whether a caller's request id may be kept.
+// validID reports whether a caller's request id may be used.
 func validID(id string) bool {
 	if id == "" || len(id) > maxIDLength {
 		return false
--- a/internal/traffic/hedge.go
+++ b/internal/traffic/hedge.go
@@ -11,95 +11,95 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// openTry is one try at another node that runs beside its dispatch. When the node
-// gives no sign in time, the dispatch goes on and leaves the try open: a node that
-// is slow, or whose link is queued, may still be the first to answer.
-type openTry struct {
-	endpoint snapshot.Endpoint
-	silent   chan struct{} // closed when there was no sign in time
-	signed   atomic.Bool   // whether there was one, be it late
-	cancel   context.CancelFunc
+// pendingAttempt is an attempt at another node that runs concurrently with its dispatch. When
+// the node does not acknowledge it in time, the dispatch continues and leaves the attempt
+// pending: a node that is slow, or whose link is queued, may still be the first to respond.
+type pendingAttempt struct {
+	endpoint    snapshot.Endpoint
+	ackTimedOut chan struct{} // closed when no acknowledgement came in time
+	acked       atomic.Bool   // whether the node has acknowledged the request, even late
+	cancel      context.CancelFunc
 
-	ended   chan struct{} // closed once the fields below are set
+	done    chan struct{} // closed once the fields below are set
 	got     *answer
 	seen    balance.Observation
 	failure *result
 }
 
-// start makes a try and returns at once. Its end is told on d.ended as well.
-func (d *dispatch) start(endpoint snapshot.Endpoint) *openTry {
-	began := &openTry{endpoint: endpoint, silent: make(chan struct{}), ended: make(chan struct{})}
-	own := *d.x
-	own.context, began.cancel = context.WithCancel(d.x.context)
-	own.onSilence = func() { close(began.silent) }
-	own.onSign = func(time.Duration) { began.signed.Store(true) }
+// startAttempt starts an attempt and returns immediately. Its end is also sent on d.finished.
+func (d *dispatch) startAttempt(endpoint snapshot.Endpoint) *pendingAttempt {
+	started := &pendingAttempt{endpoint: endpoint, ackTimedOut: make(chan struct{}), done: make(chan struct{})}
+	attempt := *d.x
+	attempt.context, started.cancel = context.WithCancel(d.x.context)
+	attempt.onAckTimeout = func() { close(started.ackTimedOut) }
+	attempt.onAck = func(time.Duration) { started.acked.Store(true) }
 	go func() {
-		began.got, began.seen, began.failure = d.out.offer(&own, endpoint)
-		close(began.ended)
-		d.ended <- began
+		started.got, started.seen, started.failure = d.out.offer(&attempt, endpoint)
+		close(started.done)
+		d.finished <- started
 	}()
-	return began
+	return started
 }
 
-// tryOpenly makes a try and waits until it has ended, or its node is silent, or an
-// earlier try is answered. It reports whether the request has ended.
-func (d *dispatch) tryOpenly(target snapshot.Target, endpoint snapshot.Endpoint) (result, bool) {
-	current := d.start(endpoint)
-	d.open = append(d.open, current)
+// tryHedged makes an attempt and waits until it has ended, its acknowledgement is overdue, or
+// an earlier attempt has a response. It reports whether the request has ended.
+func (d *dispatch) tryHedged(target snapshot.Target, endpoint snapshot.Endpoint) (result, bool) {
+	current := d.startAttempt(endpoint)
+	d.pending = append(d.pending, current)
 	for {
 		select {
-		case over := <-d.ended:
-			d.forget(over)
-			if over == current {
-				return d.conclude(target, endpoint, over.got, over.seen, over.failure)
+		case finished := <-d.finished:
+			d.removePending(finished)
+			if finished == current {
+				return d.conclude(target, endpoint, finished.got, finished.seen, finished.failure)
 			}
-			if over.failure == nil && d.better(over.got) {
+			if finished.failure == nil && d.acceptEarlier(finished.got) {
 				d.out.chooser.release(endpoint)
-				return over.got.pass(d.x), true
+				return finished.got.pass(d.x), true
 			}
-		case <-current.silent:
-			silent := silence(true)
+		case <-current.ackTimedOut:
+			failure := unresponsive(true)
 			seen := balance.Observation{Failed: true, Unreachable: true}
-			return d.conclude(target, endpoint, nil, seen, &silent)
+			return d.conclude(target, endpoint, nil, seen, &failure)
 		}
 	}
 }
 
-// better reports whether an earlier try's answer counts at once. A worker's own
-// failure is kept back while the try that came after it may do better.
-func (d *dispatch) better(got *answer) bool {
-	if !got.isWhole || got.response.StatusCode < http.StatusInternalServerError {
+// acceptEarlier reports whether the response of an earlier attempt is forwarded at once. An
+// error response of a worker is retained while the attempt that followed it may do better.
+func (d *dispatch) acceptEarlier(earlier *answer) bool {
+	if !earlier.isWhole || earlier.response.StatusCode < http.StatusInternalServerError {
 		return true
 	}
-	d.answered = got
+	d.failedAnswer = earlier
 	return false
 }
 
-// forget takes a try that has ended off the open ones.
-func (d *dispatch) forget(over *openTry) {
-	for index, held := range d.open {
-		if held == over {
-			d.open = append(d.open[:index], d.open[index+1:]...)
+// removePending removes an attempt that has ended from the pending ones.
+func (d *dispatch) removePending(finished *pendingAttempt) {
+	for index, attempt := range d.pending {
+		if attempt == finished {
+			d.pending = append(d.pending[:index], d.pending[index+1:]...)
 			return
 		}
 	}
 }
 
-// awaitOpen waits for the tries that are still open, where no other is to follow:
-// for half of the time left, and for all of it where a worker may be at one. It
-// returns the first answer, nil if there is none.
-func (d *dispatch) awaitOpen() *answer {
+// awaitPending waits for the pending attempts when no other is to follow: for half of the time
+// left, or until the deadline if a worker may be running one. It returns the first response,
+// nil if there is none.
+func (d *dispatch) awaitPending() *answer {
 	timer := time.NewTimer(time.Until(d.x.deadline) / 2)
 	defer timer.Stop()
-	for len(d.open) > 0 {
+	for len(d.pending) > 0 {
 		select {
-		case over := <-d.ended:
-			d.forget(over)
-			if over.failure == nil {
-				return over.got
+		case finished := <-d.finished:
+			d.removePending(finished)
+			if finished.failure == nil {
+				return finished.got
 			}
 		case <-timer.C:
-			if !d.maybeAtWork() {
+			if !d.mayBeRunning() {
 				return nil
 			}
 		case <-d.x.context.Done():
@@ -109,22 +109,22 @@
 	return nil
 }
 
-// maybeAtWork reports whether an open try's node has given a sign, or this node
-// stops: then giving the try up would cut a worker off.
-func (d *dispatch) maybeAtWork() bool {
-	return d.out.leaving() || slices.ContainsFunc(d.open, func(held *openTry) bool { return held.signed.Load() })
+// mayBeRunning reports whether the node of a pending attempt has acknowledged it, or this node
+// is stopping: abandoning the attempt would then interrupt a worker.
+func (d *dispatch) mayBeRunning() bool {
+	return d.out.leaving() || slices.ContainsFunc(d.pending, func(attempt *pendingAttempt) bool { return attempt.acked.Load() })
 }
 
-// close ends the tries that are still open; their answers are not wanted.
+// close cancels the pending attempts and discards their responses.
 func (d *dispatch) close() {
-	for _, held := range d.open {
-		held.cancel()
-		go held.discard()
+	for _, attempt := range d.pending {
+		attempt.cancel()
+		go attempt.discard()
 	}
 }
 
-func (t *openTry) discard() {
-	<-t.ended
+func (t *pendingAttempt) discard() {
+	<-t.done
 	if t.got != nil {
 		_ = t.got.response.Body.Close()
 	}
--- a/internal/traffic/hop.go
+++ b/internal/traffic/hop.go
@@ -11,43 +11,43 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// hopHeader carries all that two nodes of a catalog's mesh tell each other about
-// one try: on the request a hopRequest, on the answer a hopAnswer. It is one
-// short header, since bytes between zones have a price.
+// hopHeader carries all data about one attempt between two nodes of a catalog's mesh: a
+// hopRequest on the request, a hopAnswer on the response. It is one short header, because
+// bytes between zones cost money.
 const hopHeader = "Sliphead-Hop"
 
 const hopSeparator = ";"
 
-// class is how a worker's node is to treat a request.
+// class states how a worker's node is to treat a request.
 type class struct {
 	tenant     int           // priority of its tenant, 0 is served first; 0 without a tenant
-	rank       int           // priority of its route among those of tenants with the same, 0 is served first
+	rank       int           // priority of its route among tenants of the same priority, 0 is served first
 	repeatable bool          // whether it may run more than once
-	patient    bool          // whether it may wait to its deadline, not just for its objective
-	returned   bool          // whether its caller was refused before and may be answered late
-	unlikely   bool          // whether its run has failed before, since calls that it needs had
-	objective  time.Duration // left of the latency objective; 0: none
+	patient    bool          // whether it may wait until its deadline rather than its latency objective
+	returned   bool          // whether its caller was refused before, so that a late response is acceptable
+	unlikely   bool          // whether an earlier run of it failed because calls that it depends on failed
+	objective  time.Duration // time left of the latency objective; 0: none
 }
 
-// hopRequest is what a caller's node tells a worker's node.
+// hopRequest is what a caller's node sends to a worker's node.
 type hopRequest struct {
-	attempt   string // names the try
-	instance  string // that is to run the request
-	caller    string // service beside the node that took the request
-	route     string
-	class     class
-	elsewhere bool          // whether to refuse rather than to queue
-	moveTime  time.Duration // with elsewhere: up to this wait, to queue all the same
-	tenant    credential
-	repeat    bool // whether a worker has had the request before
+	attempt        string // id of the attempt
+	instance       string // instance that is to run the request
+	caller         string // service beside the node that received the request
+	route          string
+	class          class
+	hasAlternative bool          // whether to refuse rather than to queue
+	rerouteTime    time.Duration // with hasAlternative: if the wait is expected to be shorter, queue nevertheless
+	tenant         credential
+	repeated       bool // whether a worker has received the request before
 }
 
-// encode returns the fields, joined; texts are escaped.
+// encode joins the fields; texts are escaped.
 func (h hopRequest) encode() string {
-	flags := flag('r', h.class.repeatable) + flag('p', h.class.patient) + flag('b', h.class.returned) + flag('u', h.class.unlikely) + flag('a', h.repeat) + flag('e', h.elsewhere)
+	flags := flag('r', h.class.repeatable) + flag('p', h.class.patient) + flag('b', h.class.returned) + flag('u', h.class.unlikely) + flag('a', h.repeated) + flag('e', h.hasAlternative)
 	return strings.Join([]string{
 		h.attempt, url.PathEscape(h.instance), url.PathEscape(h.caller), url.PathEscape(h.route),
-		h.class.priority(), flags, inMilliseconds(h.class.objective), inMilliseconds(h.moveTime), h.tenant.encode(),
+		h.class.priority(), flags, inMilliseconds(h.class.objective), inMilliseconds(h.rerouteTime), h.tenant.encode(),
 	}, hopSeparator)
 }
 
@@ -58,7 +58,7 @@
 	return ""
 }
 
-// decodeHopRequest reads what encode wrote.
+// decodeHopRequest parses the output of encode and reports whether it is valid.
 func decodeHopRequest(text string) (hopRequest, bool) {
 	const parts = 9
 	split := strings.Split(text, hopSeparator)
@@ -78,9 +78,9 @@
 			unlikely:   strings.Contains(split[5], "u"),
 			objective:  time.Duration(objective) * time.Millisecond,
 		},
-		elsewhere: strings.Contains(split[5], "e"),
-		repeat:    strings.Contains(split[5], "a"),
-		moveTime:  milliseconds(split[7]),
+		hasAlternative: strings.Contains(split[5], "e"),
+		repeated:       strings.Contains(split[5], "a"),
+		rerouteTime:    milliseconds(split[7]),
 	}
 	tenant, tenantSound := decodeCredential(split[8])
 	read.tenant = tenant
@@ -92,10 +92,10 @@
 	return read, sound && validID(read.attempt) && read.instance != ""
 }
 
-// prioritySeparator stands between the priorities of the route and of the tenant.
+// prioritySeparator separates the priority of the route from that of the tenant.
 const prioritySeparator = "."
 
-// priority is the route's priority and, if it is not 0, the tenant's.
+// priority encodes the route's priority and, if it is not 0, the tenant's.
 func (c class) priority() string {
 	rank := strconv.Itoa(c.rank)
 	if c.tenant == 0 {
@@ -104,7 +104,7 @@
 	return rank + prioritySeparator + strconv.Itoa(c.tenant)
 }
 
-// decodePriority reads what priority wrote.
+// decodePriority parses the output of priority and reports whether it is valid.
 func decodePriority(text string) (tenant, rank int, sound bool) {
 	first, second, both := strings.Cut(text, prioritySeparator)
 	rank, err := strconv.Atoi(first)
@@ -115,38 +115,39 @@
 	return tenant, rank, err == nil
 }
 
-// hopAnswer is what a worker's node tells the caller's node.
+// hopAnswer is what a worker's node reports to the caller's node.
 type hopAnswer struct {
 	attempt       string
 	outcome       outcome.Outcome
-	arrived       bool // whether the worker itself refused
+	reachedWorker bool // whether the worker itself refused
 	full          bool // whether it was refused because another endpoint seemed to be free
-	held          bool // whether it is held in quarantine
-	withdrawn     bool // whether the caller's key was withdrawn
-	crashedBefore bool // whether this is not the first worker that ended while it ran the request
-	rejected      bool // whether the worker itself refused, and takes others
-	leaving       bool // whether the worker has said that it leaves
-	limited       bool // whether the worker names a limit, and gets as much as that
+	quarantined   bool // whether the request is in quarantine
+	keyWithdrawn  bool // whether the caller's key was withdrawn
+	crashedBefore bool // whether an earlier worker also crashed while running the request
+	rejected      bool // whether the worker itself refused it while accepting others
+	leaving       bool // whether the worker has announced that it drains
+	limited       bool // whether the worker has reported a limit and already receives that rate
 	internal      bool // whether only runs of other services call the route
 	callFailed    bool // whether calls of the worker failed while it ran the request
 	load          balance.Load
-	loaded        bool
+	hasLoad       bool // whether load was reported
 }
 
-// encodeHopAnswer returns the header of an answer.
-func encodeHopAnswer(x *exchange, told outcome.Outcome, ended *result) string {
-	flags := string(told[:1]) + flag('i', x.internal) + flag('d', x.callFailed)
+// encodeHopReply returns the hop header of a response; ended is nil for a response of the
+// worker.
+func encodeHopReply(x *exchange, reported outcome.Outcome, ended *result) string {
+	flags := string(reported[:1]) + flag('i', x.internal) + flag('d', x.callFailed)
 	if ended != nil {
 		flags += flag('j', ended.rejected) + flag('w', ended.arrived) + flag('f', ended.cause == causeFull) + flag('q', ended.cause == causeQuarantine) + flag('k', ended.cause == causeKey) + flag('c', ended.crashedBefore) + flag('l', ended.cause == causeLimit) + flag('o', ended.cause == causeLeaving)
 	}
 	return strings.Join([]string{x.attempt, flags, encodeLoad(x.load())}, hopSeparator)
 }
 
-// decodeHopAnswer reads what encodeHopAnswer wrote.
-func decodeHopAnswer(text string) hopAnswer {
+// decodeHopReply parses the output of encodeHopReply.
+func decodeHopReply(text string) hopAnswer {
 	attempt, rest, _ := strings.Cut(text, hopSeparator)
 	flags, load, _ := strings.Cut(rest, hopSeparator)
-	read := hopAnswer{attempt: attempt, outcome: outcome.Unknown, arrived: strings.Contains(flags, "w"), full: strings.Contains(flags, "f"), held: strings.Contains(flags, "q"), withdrawn: strings.Contains(flags, "k"), crashedBefore: strings.Contains(flags, "c")}
+	read := hopAnswer{attempt: attempt, outcome: outcome.Unknown, reachedWorker: strings.Contains(flags, "w"), full: strings.Contains(flags, "f"), quarantined: strings.Contains(flags, "q"), keyWithdrawn: strings.Contains(flags, "k"), crashedBefore: strings.Contains(flags, "c")}
 	switch {
 	case strings.HasPrefix(flags, "a"):
 		read.outcome = outcome.Answered
@@ -158,12 +159,12 @@
 	read.limited = strings.Contains(flags, "l")
 	read.internal = strings.Contains(flags, "i")
 	read.callFailed = strings.Contains(flags, "d")
-	read.load, read.loaded = parseLoad(load)
+	read.load, read.hasLoad = parseLoad(load)
 	return read
 }
 
-// refusal is the failure that a node's answer tells of, nil if it passes a
-// worker's answer on.
+// refusal returns the failure that a node's reply reports, nil if the reply carries a worker's
+// response.
 func (h hopAnswer) refusal(response *http.Response) *result {
 	if h.outcome == outcome.Answered {
 		return nil
@@ -174,14 +175,14 @@
 		cause:         causeRefused,
 		remedy:        "send it again later, the workers are busy or leave",
 		retryAfter:    h.load.Wait + h.load.Link + h.load.Closed,
-		arrived:       h.arrived,
+		arrived:       h.reachedWorker,
 		rejected:      h.rejected,
 		crashedBefore: h.crashedBefore,
 	}
 	switch {
-	case h.held:
+	case h.quarantined:
 		refused.cause = causeQuarantine
-	case h.withdrawn:
+	case h.keyWithdrawn:
 		refused.cause = causeKey
 	case h.leaving:
 		refused.cause = causeLeaving
@@ -193,19 +194,19 @@
 	return &refused
 }
 
-// silenceHeaders keeps net/http from adding headers that no node reads.
-func silenceHeaders(header http.Header) {
+// suppressDefaultHeaders prevents net/http from adding headers that no node reads.
+func suppressDefaultHeaders(header http.Header) {
 	header["Date"] = nil
 	if _, given := header["Content-Type"]; !given {
 		header["Content-Type"] = nil
 	}
 }
 
-// concludeBetween ends an exchange between nodes: a refusal is a header alone.
-func concludeBetween(x *exchange, ended result) {
+// refuseToNode ends an exchange between nodes with a refusal, which consists of headers alone.
+func refuseToNode(x *exchange, ended result) {
 	header := x.writer.Header()
-	silenceHeaders(header)
-	header[hopHeader] = []string{encodeHopAnswer(x, ended.outcome, &ended)}
+	suppressDefaultHeaders(header)
+	header[hopHeader] = []string{encodeHopReply(x, ended.outcome, &ended)}
 	header["Content-Length"] = []string{"0"}
 	if x.unread() {
 		header["Connection"] = []string{"close"}
--- a/internal/traffic/hop_bytes.go
+++ b/internal/traffic/hop_bytes.go
@@ -7,35 +7,36 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// hopBytes counts what tries at other nodes take of the machine's link, by what came of
-// them and by how far they went: where a link is full, or bytes are dear, this says what for.
+// hopBytes counts the bytes that attempts at other nodes send over the machine's link, by
+// outcome and distance. Where a link is full or bytes are expensive, this shows what uses
+// them.
 type hopBytes struct {
 	counter *prometheus.CounterVec
 }
 
-// What a try came to, as its bytes are counted.
+// Label values for the outcome of an attempt.
 const (
-	bytesAnswered = "answered" // it brought a worker's answer
-	bytesRefused  = "refused"  // the node had no room, or the worker did not take it
-	bytesLost     = "lost"     // it brought nothing: silence, a cut connection, the end of its time
+	bytesAnswered = "answered" // it returned a worker's response
+	bytesRefused  = "refused"  // the node had no capacity, or the worker refused it
+	bytesLost     = "lost"     // it returned nothing: no acknowledgement, a cut connection, or the deadline
 )
 
-// How far a try went, as its bytes are counted.
+// Label values for the distance of an attempt.
 const (
-	toZone   = "zone"   // to this node's own
-	toRegion = "region" // to another zone of this node's region
-	toFar    = "far"    // to another region
+	distanceSameZone    = "zone"   // within this node's zone
+	distanceSameRegion  = "region" // to another zone of this node's region
+	distanceOtherRegion = "far"    // to another region
 )
 
-// howFar tells how far a try at an endpoint goes.
-func (out *Outbound) howFar(endpoint snapshot.Endpoint) string {
+// distanceLabel returns the label value for the distance to an endpoint.
+func (out *Outbound) distanceLabel(endpoint snapshot.Endpoint) string {
 	switch {
 	case endpoint.Zone == out.config.Zone:
-		return toZone
+		return distanceSameZone
 	case balance.IsFar(out.config.Zone, out.config.Region, &endpoint):
-		return toFar
+		return distanceOtherRegion
 	default:
-		return toRegion
+		return distanceSameRegion
 	}
 }
 
@@ -49,21 +50,21 @@
 	return &hopBytes{counter: counter}
 }
 
-// addTo returns what counts the bytes of a try that goes so far.
-func (b *hopBytes) addTo(to string) func(failure *result, sent, received int64) {
+// recorder returns a function that counts the bytes of an attempt at the given distance.
+func (b *hopBytes) recorder(to string) func(failure *result, sent, received int64) {
 	return func(failure *result, sent, received int64) { b.add(to, failure, sent, received) }
 }
 
-// add counts the bytes of one try.
+// add counts the bytes of one attempt.
 func (b *hopBytes) add(to string, failure *result, sent, received int64) {
-	came := bytesAnswered
+	outcome := bytesAnswered
 	switch {
 	case failure == nil:
 	case failure.cause == causeRefused || failure.cause == causeFull:
-		came = bytesRefused
+		outcome = bytesRefused
 	default:
-		came = bytesLost
+		outcome = bytesLost
 	}
-	b.counter.WithLabelValues(came, "out", to).Add(float64(sent))
-	b.counter.WithLabelValues(came, "in", to).Add(float64(received))
+	b.counter.WithLabelValues(outcome, "out", to).Add(float64(sent))
+	b.counter.WithLabelValues(outcome, "in", to).Add(float64(received))
 }
--- a/internal/traffic/instance.go
+++ b/internal/traffic/instance.go
@@ -11,9 +11,9 @@
 	"sliphead/internal/snapshot"
 )
 
-// classifyInstance takes a request for the local worker where views come from
-// a catalog. The caller's node names the instance that is to run it and how the
-// request is to be treated, since its view may be newer than this node's.
+// classifyInstance checks a request for the local worker when views come from a catalog. The
+// caller's node names the instance that is to run the request and how to treat it, because its
+// view may be newer than this node's.
 func (in *Inbound) classifyInstance(x *exchange, view *snapshot.View, next stage) result {
 	x.view = view
 	if refused := in.checkLocal(x); refused != nil {
@@ -22,44 +22,44 @@
 	return next(x)
 }
 
-// beginInstance reads what the caller's node tells. Without it the exchange has
-// no attempt and is refused.
+// beginInstance reads the hop header of the caller's node. Without a valid one the exchange
+// has no attempt and is refused.
 func (in *Inbound) beginInstance(x *exchange) {
 	protocol := &in.config.Protocol
 	x.id = get(x.request.Header, protocol.RequestID)
-	x.between = true
+	x.fromNode = true
 	x.signal = true
-	told, ok := decodeHopRequest(get(x.request.Header, hopHeader))
+	received, ok := decodeHopRequest(get(x.request.Header, hopHeader))
 	if !ok {
 		return
 	}
-	x.attempt = told.attempt
-	x.instance = told.instance
-	x.caller = told.caller
-	x.tenant = told.tenant
-	x.class = told.class
-	x.elsewhere = told.elsewhere
-	x.moveTime = told.moveTime
-	x.repeat = told.repeat
+	x.attempt = received.attempt
+	x.instance = received.instance
+	x.caller = received.caller
+	x.tenant = received.tenant
+	x.class = received.class
+	x.elsewhere = received.hasAlternative
+	x.rerouteTime = received.rerouteTime
+	x.repeat = received.repeated
 	x.limitReported = readLimitReported(x.request.Header[limitHeader])
-	x.route = routeOf(told.route, told.class)
+	x.route = routeOf(received.route, received.class)
 	x.request.Header[outcome.Deadline] = x.request.Header[protocol.Deadline]
 }
 
-// routeOf is as much of a route as a worker's node needs to know. The deadline
-// is the one that the caller's node tells.
-func routeOf(name string, told class) *snapshot.Route {
+// routeOf returns the part of a route that a worker's node needs. The deadline is the one that
+// the caller's node sends.
+func routeOf(name string, received class) *snapshot.Route {
 	return &snapshot.Route{
-		Route: declaration.Route{Name: name, Repeatable: told.repeatable, DeadlineMS: maxDeadline.Milliseconds()},
-		Rank:  told.rank,
+		Route: declaration.Route{Name: name, Repeatable: received.repeatable, DeadlineMS: maxDeadline.Milliseconds()},
+		Rank:  received.rank,
 	}
 }
 
-// maxDeadline bounds what a caller's node may tell.
+// maxDeadline bounds the deadline that a caller's node may send.
 const maxDeadline = time.Hour
 
-// checkLocal refuses a request for an instance that is not beside this node, that
-// leaves, or whose zone is evacuated.
+// checkLocal refuses a request for an instance that is not beside this node, that is draining,
+// or whose zone is evacuated.
 func (in *Inbound) checkLocal(x *exchange) *result {
 	local := x.view.Local
 	switch in.saysItLeaves(x.instance) {
@@ -76,7 +76,7 @@
 	}
 	x.tenant = x.tenant.asOf(x.view)
 	route := x.view.Route(x.route.Name)
-	if !homeOf(x.view, route, x.tenant.name).includes(in.config.Region) {
+	if !allowedRegionsOf(x.view, route, x.tenant.name).includes(in.config.Region) {
 		refused := refuse(causeRegion, time.Second, "send it again, its route or its tenant does not allow the region of this worker")
 		return &refused
 	}
@@ -89,14 +89,15 @@
 	return nil
 }
 
-// lapsed reports whether the worker's record is gone for good, as far as this node
-// knows: it may be sent requests for the time that a leaving one may, and for as
-// long as this node retains it.
+// lapsed reports whether the worker's record was removed for good, as far as this node has
+// observed. A worker without a record is sent requests for as long as a draining one, and
+// beyond that while this node retains it.
 func (in *Inbound) lapsed(local snapshot.Local) bool {
 	return local.Lapsed && clock.Now().After(local.Until) && !in.retains.Load()
 }
 
-// Retain tells whether this node answers for a worker whose record is gone.
+// Retain sets whether this node continues to serve a worker whose record was removed. It is
+// safe for concurrent use.
 func (in *Inbound) Retain(retains bool) {
 	in.retains.Store(retains)
 	if !retains {
@@ -104,14 +105,15 @@
 	}
 }
 
-// misdirected reports whether the worker itself has said that it is another
-// instance. Ids are never used again, so that holds for good.
+// misdirected reports whether the worker has responded that it is another instance. Instance
+// ids are never reused, so this stays true.
 func (in *Inbound) misdirected(instance string) bool {
-	gone := in.gone.Load()
-	return gone != nil && *gone == instance
+	misdirectedID := in.gone.Load()
+	return misdirectedID != nil && *misdirectedID == instance
 }
 
-// stillLocal refuses a request whose instance has left while it waited.
+// stillLocal refuses a request whose instance has been replaced or has begun to drain while
+// the request waited.
 func (in *Inbound) stillLocal(next stage) stage {
 	return func(x *exchange) result {
 		if view, _ := in.config.Holder.Current(time.Now()); view != nil {
@@ -124,12 +126,12 @@
 	}
 }
 
-// LocalChanged is to be called when the view says something else of the local
-// worker: what waits for one that has left is refused at once, so that it can
-// run elsewhere in time.
+// LocalChanged must be called when the view of the local worker changes. Requests that wait
+// for a worker that has left are refused at once, so that another worker can run them in time.
+// It is safe for concurrent use.
 func (in *Inbound) LocalChanged() { in.admitter.clear() }
 
-// adjustTo takes the worker's slots and connections from the catalog.
+// adjustTo applies the worker's slots and connections from the catalog.
 func (in *Inbound) adjustTo(local snapshot.Local) {
 	if local.Slots > 0 {
 		in.admitter.resize(local.Slots)
@@ -139,8 +141,8 @@
 	}
 }
 
-// checkInstance tells a worker's answer from one that is none, where callers
-// and workers have headers of their own.
+// checkInstance rejects a response that does not come from the worker or belongs to another
+// request, when callers and workers use headers of their own.
 func (in *Inbound) checkInstance(x *exchange, response *http.Response) *result {
 	protocol := &in.config.Protocol
 	if id := get(response.Header, protocol.RequestID); id != "" && id != x.id {
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// remoteHost is the IP address that a request came from.
+// remoteHost returns the IP address that a request came from.
 func remoteHost(request *http.Request) string {
 	host, _, _ := net.SplitHostPort(request.RemoteAddr)
 	return host
--- a/internal/traffic/mesh_test.go
+++ b/internal/traffic/mesh_test.go
@@ -24,7 +24,7 @@
 	"sliphead/internal/version"
 )
 
-// mesh is a caller's node and a worker's node with real sockets.
+// mesh consists of a caller's node and a worker's node with real sockets.
 type mesh struct {
 	worker   *httptest.Server
 	in       *Inbound
@@ -49,7 +49,7 @@
 	}
 }
 
-// quick gives a route little time, for workers that hang.
+// quick gives a route a short deadline, for workers that do not respond.
 func quick(route declaration.Route) declaration.Route {
 	route.DeadlineMS = 150
 	return route
@@ -85,8 +85,8 @@
 	return m
 }
 
-// setCapacity publishes two endpoints, which are one node, so that there is
-// always somewhere to try again.
+// setCapacity publishes two endpoints of the same node, so that a retry always finds an
+// endpoint.
 func (m *mesh) setCapacity(slots, connections int) {
 	endpoint := snapshot.Endpoint{Worker: "w1", Node: "n1", Zone: "z1", Region: "r1", Address: address(m.inbound.URL), Slots: slots, Connections: connections}
 	other := endpoint
@@ -102,23 +102,23 @@
 
 func quiet() log.Interface { return &log.Logger{Handler: discard.Default} }
 
-// testServer is a server of NewServer on loopback.
+// testServer is a server of NewServer on the loopback interface.
 type testServer struct {
 	*httpserver.Server
 	URL    string
 	client *http.Client
 }
 
-// Client returns a client with connections of its own.
+// Client returns a client that shares no connections with others.
 func (s *testServer) Client() *http.Client { return s.client }
 
-// Close ends the server and its client's connections.
+// Close stops the server and closes its client's connections.
 func (s *testServer) Close() {
 	s.client.CloseIdleConnections()
 	_ = s.Server.Close()
 }
 
-// serve starts a server. A panic in it fails the test.
+// serve starts a server. A panic in the server fails the test.
 func serve(t testing.TB, handler http.Handler, limits Limits) *testServer {
 	return serveOn(t, listen(t), NewServer(handler, limits))
 }
@@ -137,7 +137,7 @@
 	return &testServer{Server: server, URL: "http://" + listener.Addr().String(), client: &http.Client{Transport: &http.Transport{}}}
 }
 
-// errorLines keeps what a server logs.
+// errorLines collects the log of a server.
 type errorLines struct {
 	mutex sync.Mutex
 	text  strings.Builder
@@ -159,7 +159,7 @@
 	return strings.TrimPrefix(strings.TrimPrefix(url, "https://"), "http://")
 }
 
-// call sends a request through the mesh and reads the whole answer.
+// call sends a request through the mesh and reads the whole response.
 func (m *mesh) call(t testing.TB, method, path, body string, headers ...string) (*http.Response, string, error) {
 	t.Helper()
 	request, err := http.NewRequest(method, m.outbound.URL+path, strings.NewReader(body))
@@ -206,7 +206,7 @@
 	reader, writer := io.Pipe()
 	response := m.startUpload(t, reader)
 	buffer := make([]byte, 5)
-	for _, part := range []string{"first", "secon", "third"} { // each comes back while the upload goes on
+	for _, part := range []string{"first", "secon", "third"} { // each is echoed while the upload continues
 		_, err := io.WriteString(writer, part)
 		must.NoError(t, err)
 		_, err = io.ReadFull(response(), buffer)
@@ -218,7 +218,7 @@
 	must.Eq(t, io.EOF, err)
 }
 
-// startUpload sends a body and returns a wait for the answer's body.
+// startUpload sends a body and returns a function that waits for the response's body.
 func (m *mesh) startUpload(t *testing.T, body io.Reader) func() io.Reader {
 	request, err := http.NewRequest("POST", m.outbound.URL+"/upload", body)
 	must.NoError(t, err)
--- a/internal/traffic/metrics.go
+++ b/internal/traffic/metrics.go
@@ -9,8 +9,8 @@
 	"sliphead/internal/outcome"
 )
 
-// metrics counts the requests of one handler. Labels are bounded: routes by
-// the declarations, outcomes and causes by the code.
+// metrics counts the requests of one handler. Label values are bounded: routes by the
+// declarations, outcomes and causes by the code.
 type metrics struct {
 	logger   log.Interface
 	side     string
@@ -20,7 +20,7 @@
 	retries  prometheus.Counter
 }
 
-// gauges read the state of a handler when metrics are collected.
+// gauges are read when metrics are collected.
 type gauges struct {
 	inFlight func() int
 	queued   func() int // nil: the handler has no queue
@@ -63,7 +63,7 @@
 	return prometheus.NewGaugeFunc(options, func() float64 { return float64(read()) })
 }
 
-// conclude counts an exchange and gives its final answer.
+// conclude counts an exchange and sends its final response.
 func (m *metrics) conclude(x *exchange, ended result) {
 	m.count(x, ended)
 	conclude(x, ended)
@@ -81,6 +81,6 @@
 		m.failures.WithLabelValues(string(ended.cause)).Inc()
 	}
 	if ended.outcome != outcome.Answered {
-		m.tellEnd(x, ended)
+		m.logEnd(x, ended)
 	}
 }
--- a/internal/traffic/metrics_test.go
+++ b/internal/traffic/metrics_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A node draws its retries from a share of its requests.
+// The retries of a node are bounded to a share of its requests.
 func TestRetriesAreAShareOfRequests(t *testing.T) {
 	bucket := newRetryBucket(Limits{RetryRatio: 0.125, RetryBurst: 2})
 	must.True(t, bucket.take())
--- a/internal/traffic/offer.go
+++ b/internal/traffic/offer.go
@@ -10,93 +10,93 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// offer sends the request to the node beside an endpoint, which may be this one.
+// offer sends the request to the node beside an endpoint, which may be this node.
 func (out *Outbound) offer(x *exchange, endpoint snapshot.Endpoint) (*answer, balance.Observation, *result) {
 	if endpoint.Local && out.local != nil {
 		return out.offerLocal(x, endpoint)
 	}
-	told := hopRequest{attempt: out.newAttempt(), instance: endpoint.Worker, caller: x.caller, route: x.route.Name, class: x.classLeft(), elsewhere: x.elsewhere, moveTime: x.moveTime, tenant: x.tenant, repeat: x.repeat}
-	seen := balance.Observation{}
+	request := hopRequest{attempt: out.newAttempt(), instance: endpoint.Worker, caller: x.caller, route: x.route.Name, class: x.remainingClass(), hasAlternative: x.elsewhere, rerouteTime: x.rerouteTime, tenant: x.tenant, repeated: x.repeat}
+	observed := balance.Observation{}
 	began := time.Now()
 	callFailed := false
 	check := func(response *http.Response) *result {
-		said := decodeHopAnswer(get(response.Header, hopHeader))
-		if said.attempt != told.attempt {
+		reply := decodeHopReply(get(response.Header, hopHeader))
+		if reply.attempt != request.attempt {
 			return foreign()
 		}
-		seen.Load, seen.Loaded = said.load, said.loaded
-		out.nested.learn(x.route.Name, said.internal, time.Now())
-		callFailed = said.callFailed
-		return said.refusal(response)
+		observed.Load, observed.Loaded = reply.load, reply.hasLoad
+		out.nested.learn(x.route.Name, reply.internal, time.Now())
+		callFailed = reply.callFailed
+		return reply.refusal(response)
 	}
-	to := out.hopTo(x, endpoint, &told)
-	to.onSign = noteRoundTrip(&seen, to.onSign)
+	to := out.hopTo(x, endpoint, &request)
+	to.onAck = observeRoundTrip(&observed, to.onAck)
 	got, failure := send(x, to, check)
 	if failure == nil {
-		seen.Latency = time.Since(began)
-		seen.Kilobytes = got.kilobytes()
+		observed.Latency = time.Since(began)
+		observed.Kilobytes = got.kilobytes()
 		got.callFailed = callFailed
 		out.noteReport(endpoint.Worker, got, began)
-		return got, seen, nil
+		return got, observed, nil
 	}
 	if failure.cause == causeLeaving {
 		out.reports.noteLeaving(endpoint.Worker)
 	}
-	if failure.cause == causeSilent {
-		out.signs.note(endpoint.Address, 2*to.silence) // it takes longer, and nobody waits to see how long
+	if failure.cause == causeUnresponsive {
+		out.ackDelays.observe(endpoint.Address, 2*to.ackTimeout) // the real delay is longer but is not measured
 	}
-	seen.Failed = blamesNode(failure, seen)
-	seen.Refused = failure.outcome == outcome.NotRun && !failure.arrived && seen.Loaded && seen.Load.Busy >= seen.Load.Slots
-	seen.Unreachable = failure.cause == causeConnect || failure.cause == causeSilent
-	return nil, seen, failure
+	observed.Failed = blamesNode(failure, observed)
+	observed.Refused = failure.outcome == outcome.NotRun && !failure.arrived && observed.Loaded && observed.Load.Busy >= observed.Load.Slots
+	observed.Unreachable = failure.cause == causeConnect || failure.cause == causeUnresponsive
+	return nil, observed, failure
 }
 
-// hopTo is the way to the node beside an endpoint, with what that node is told.
-func (out *Outbound) hopTo(x *exchange, endpoint snapshot.Endpoint, told *hopRequest) *hop {
+// hopTo returns the hop to the node beside an endpoint, with the headers for that node.
+func (out *Outbound) hopTo(x *exchange, endpoint snapshot.Endpoint, request *hopRequest) *hop {
 	to := &hop{
 		pool: out.pool, transport: out.transport, address: endpoint.Address,
 		fields: []field{
-			{hopHeader, told.encode()},
+			{hopHeader, request.encode()},
 			{out.config.Protocol.Deadline, strconv.FormatInt(x.millisecondsLeft(), 10)},
 		},
-		expect:  true,
-		offer:   x.offersBody(),
-		silence: x.silenceLimit(out.signs.usual(endpoint.Address)),
-		onSign:  out.noteSign(endpoint.Address, x.onSign),
-		onBytes: out.hopBytes.addTo(out.howFar(endpoint)),
+		expect:     true,
+		offer:      x.offersBody(),
+		ackTimeout: x.ackTimeout(out.ackDelays.typical(endpoint.Address)),
+		onAck:      out.observeAck(endpoint.Address, x.onAck),
+		onBytes:    out.hopBytes.recorder(out.distanceLabel(endpoint)),
 	}
 	if limit, known := out.reports.limitOf(endpoint.Worker, time.Now()); known {
 		to.fields = append(to.fields, field{limitHeader, limit.String()})
 	}
 	if !to.offer {
-		to.endures = out.leaving // a worker may be at it: giving it up would cut it
-		to.onSilence = x.onSilence
+		to.waitsForDeadline = out.leaving // a worker may be running it: abandoning the attempt would interrupt it
+		to.onAckTimeout = x.onAckTimeout
 	}
 	return to
 }
 
-// noteSign returns what is to be called at each sign of a node from now on: it learns how
-// long the first one took, and passes signs on to whoever asks.
-func (out *Outbound) noteSign(address string, passOn func(time.Duration)) func(time.Duration) {
+// observeAck returns a callback for the acknowledgements of a node from now on: it records the
+// delay of the first one and calls passOn for each.
+func (out *Outbound) observeAck(address string, passOn func(time.Duration)) func(time.Duration) {
 	began := time.Now()
-	signed := false
+	acked := false
 	return func(took time.Duration) {
-		if !signed {
-			out.signs.note(address, time.Since(began))
+		if !acked {
+			out.ackDelays.observe(address, time.Since(began))
 		}
-		signed = true
+		acked = true
 		if passOn != nil {
 			passOn(took)
 		}
 	}
 }
 
-// noteRoundTrip returns what is to be called at each sign of a node: it notes the first one's
-// time, which shows how far the node is.
-func noteRoundTrip(seen *balance.Observation, passOn func(time.Duration)) func(time.Duration) {
+// observeRoundTrip returns a callback for the acknowledgements of a node: it stores the delay
+// of the first one as the round-trip time and calls passOn for each.
+func observeRoundTrip(observed *balance.Observation, passOn func(time.Duration)) func(time.Duration) {
 	return func(took time.Duration) {
-		if seen.RoundTrip == 0 {
-			seen.RoundTrip = took
+		if observed.RoundTrip == 0 {
+			observed.RoundTrip = took
 		}
 		passOn(took)
 	}
@@ -107,75 +107,76 @@
 	inner := *x
 	inner.attempt = ""
 	inner.instance = endpoint.Worker
-	inner.class = x.classLeft()
+	inner.class = x.remainingClass()
 	inner.granted = nil
 	ended := out.local.serveLocal(&inner)
 	load := out.local.admitter.load(&inner)
-	seen := balance.Observation{Load: load, Loaded: true}
+	observed := balance.Observation{Load: load, Loaded: true}
 	switch {
 	case ended.answer != nil:
 		out.noteReport(endpoint.Worker, ended.answer, inner.sent)
-		seen.Kilobytes = ended.answer.kilobytes()
-		return ended.answer, seen, nil
+		observed.Kilobytes = ended.answer.kilobytes()
+		return ended.answer, observed, nil
 	case ended.sent:
-		return nil, seen, &ended
+		return nil, observed, &ended
 	}
 	if ended.cause == causeLeaving {
 		out.reports.noteLeaving(endpoint.Worker)
 	}
 	ended.retryAfter = load.Wait + load.Closed
-	seen.Refused = ended.cause == causeQueue || ended.cause == causeFull
-	seen.Failed = blamesNode(&ended, seen)
-	return nil, seen, &ended
+	observed.Refused = ended.cause == causeQueue || ended.cause == causeFull
+	observed.Failed = blamesNode(&ended, observed)
+	return nil, observed, &ended
 }
 
-// blamesNode reports whether a failure speaks against an endpoint.
-func blamesNode(failure *result, seen balance.Observation) bool {
+// blamesNode reports whether a failure counts against an endpoint.
+func blamesNode(failure *result, observed balance.Observation) bool {
 	if failure.rejected {
-		return false // its node tells how many it rejects
+		return false // its node reports its rejections in the load
 	}
 	switch failure.cause {
 	case causeCallerGone, causeFull, causeQueue, causeDeadline, causeNested, causeCold, causeLeaving, causeLimit, causeRegion, causeQuarantine, causeKey, causeStaleKeys:
 		return false
 	case causeRefused:
-		return !seen.Loaded || seen.Load.Busy < seen.Load.Slots && seen.Load.Closed == 0
+		return !observed.Loaded || observed.Load.Busy < observed.Load.Slots && observed.Load.Closed == 0
 	default:
 		return true
 	}
 }
 
-// classLeft is how the worker's node is to treat the request from now on.
-func (x *exchange) classLeft() class {
-	left := x.class
-	if left.objective > 0 {
-		left.objective = max(time.Millisecond, left.objective-time.Since(x.started))
-	}
-	return left
+// remainingClass returns how the worker's node is to treat the request from now on: its class
+// with the rest of the latency objective.
+func (x *exchange) remainingClass() class {
+	current := x.class
+	if current.objective > 0 {
+		current.objective = max(time.Millisecond, current.objective-time.Since(x.started))
+	}
+	return current
 }
 
-// offersBody reports whether the body goes out only once the node has asked for
-// it: silence then proves that the request has not run.
+// offersBody reports whether the body is sent only after the node has requested it with 100
+// Continue. A missing acknowledgement then proves that the request has not run.
 func (x *exchange) offersBody() bool {
 	return x.body.length > 0 && (!x.route.Repeatable || x.body.length > directBody)
 }
 
-// trips is how often the request takes the way to a node and back until it is answered.
-func (x *exchange) trips() int {
+// roundTrips returns the number of round trips to a node until the response arrives.
+func (x *exchange) roundTrips() int {
 	if x.offersBody() {
 		return 2
 	}
 	return 1
 }
 
-// silenceLimit is how long a node may give no sign before it is given up, or others
-// are tried beside it: longer than the way there and back, and than it takes as a rule,
-// while time is left for another.
-func (x *exchange) silenceLimit(usual time.Duration) time.Duration {
+// ackTimeout returns the time within which a node must acknowledge the request before it is
+// abandoned or another attempt is started: longer than the round trip and than the typical
+// delay of the node, while time remains for another node.
+func (x *exchange) ackTimeout(typical time.Duration) time.Duration {
 	left := time.Until(x.deadline)
-	limit := min(max(left/silentShare, firstSilent), mostSilent)
-	distant := min(limit+x.roundTrip, left/distantShare)
-	if x.roundTrip > 0 && !x.measured {
-		distant = min(mostSilent, left/distantShare) // else a node further away could never be measured
+	limit := min(max(left/ackTimeoutShare, minAckTimeout), maxAckTimeout)
+	remote := min(limit+x.roundTrip, left/remoteAckShare)
+	if x.roundTrip > 0 && !x.roundTripMeasured {
+		remote = min(maxAckTimeout, left/remoteAckShare) // a shorter timeout would prevent measuring a node at that distance
 	}
-	return max(limit, distant, min(usual, left/usualShare))
+	return max(limit, remote, min(typical, left/typicalAckShare))
 }
--- a/internal/traffic/offer_bounds.go
+++ b/internal/traffic/offer_bounds.go
@@ -1,34 +1,34 @@
 package traffic
 
-// offerBounds are to how many nodes one request is offered.
+// offerBounds is the maximum number of nodes to which one request is offered.
 type offerBounds struct {
-	most     int
-	crossing int // of these, in other zones
+	total     int
+	crossZone int // of these, in other zones
 }
 
 const (
-	mostOffers  = 10  // however fast the link is
-	leastOffers = 3   // however slow it is
-	crossingOf  = 0.6 // part of the offers that may go to other zones
-	// offerKilobytes is about what an offer and its refusal take of a link, with the
-	// headers of their packets.
+	maxOffers      = 10  // regardless of how fast the link is
+	minOffers      = 3   // regardless of how slow the link is
+	crossZoneShare = 0.6 // share of the offers that may go to other zones
+	// offerKilobytes is the approximate size of an offer and its refusal on a link, including
+	// packet headers.
 	offerKilobytes = 1.0
-	// offerTime is the time of the machine's link, in milliseconds, that the offers of one
-	// request may take. In an overload each refused request takes all of it. On links of
-	// 5 Mbit/s, ten offers left 23 % of the requests of an overload late or unserved, three
-	// 17 %: the offers of refused requests took the link from the bodies and answers of
-	// those that ran. On links of 20 Mbit/s and more, ten find free slots that three miss.
-	offerTime = 5.0
+	// offerMilliseconds is the time on the machine's link that the offers of one request may
+	// take. In overload each refused request takes all of it. On links of 5 Mbit/s, ten offers
+	// left 23 % of the requests of an overload late or unserved, three left 17 %: the offers
+	// of refused requests took link capacity from the bodies and responses of those that ran.
+	// On links of 20 Mbit/s and more, ten offers find free slots that three miss.
+	offerMilliseconds = 5.0
 )
 
-// boundOffers returns the bounds of a machine whose link carries so many megabits a
-// second, 0 where that is not known.
+// boundOffers returns the bounds for a link of the given capacity in megabits per second, 0 if
+// unknown.
 func boundOffers(megabits float64) offerBounds {
-	most := mostOffers
+	total := maxOffers
 	if megabits > 0 {
 		const kilobitsPerKilobyte = 8
-		affordable := int(offerTime * megabits / (kilobitsPerKilobyte * offerKilobytes))
-		most = min(max(affordable, leastOffers), mostOffers)
+		affordable := int(offerMilliseconds * megabits / (kilobitsPerKilobyte * offerKilobytes))
+		total = min(max(affordable, minOffers), maxOffers)
 	}
-	return offerBounds{most: most, crossing: int(crossingOf * float64(most))}
+	return offerBounds{total: total, crossZone: int(crossZoneShare * float64(total))}
 }
--- a/internal/traffic/offer_bounds_test.go
+++ b/internal/traffic/offer_bounds_test.go
@@ -7,10 +7,10 @@
 )
 
 // The slower the link, the fewer nodes a request is offered to.
-func TestOffersFollowTheLink(t *testing.T) {
-	must.Eq(t, offerBounds{most: 3, crossing: 1}, boundOffers(5))
-	must.Eq(t, offerBounds{most: 6, crossing: 3}, boundOffers(10))
-	must.Eq(t, offerBounds{most: 10, crossing: 6}, boundOffers(20))
-	must.Eq(t, offerBounds{most: 10, crossing: 6}, boundOffers(1000))
-	must.Eq(t, offerBounds{most: 10, crossing: 6}, boundOffers(0))
+func TestOfferBoundsFollowLinkRate(t *testing.T) {
+	must.Eq(t, offerBounds{total: 3, crossZone: 1}, boundOffers(5))
+	must.Eq(t, offerBounds{total: 6, crossZone: 3}, boundOffers(10))
+	must.Eq(t, offerBounds{total: 10, crossZone: 6}, boundOffers(20))
+	must.Eq(t, offerBounds{total: 10, crossZone: 6}, boundOffers(1000))
+	must.Eq(t, offerBounds{total: 10, crossZone: 6}, boundOffers(0))
 }
--- a/internal/traffic/outbound.go
+++ b/internal/traffic/outbound.go
@@ -13,37 +13,37 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// Outbound takes requests from callers or from the local worker and chooses an
-// endpoint for each.
+// Outbound handles requests from callers or from the local worker and chooses an endpoint for
+// each. It is safe for concurrent use.
 type Outbound struct {
 	config    Config
-	gate      *gate
+	inFlight  *gate
 	random    *rand.Rand
 	pool      *pool
-	transport *http.Transport // for what the pool does not carry
+	transport *http.Transport // for requests that the pool cannot carry
 	chooser   *chooser
 	retries   *retryBucket
 	metrics   *metrics
 	handle    stage
 
 	// With a catalog.
-	local     *Inbound // beside this handler, nil if there is none
-	weights   *weights
-	budget    *serviceBudget
-	returns   *returns
-	nested    *nestedCalls
-	turned    *turnedAway
-	signs     *signDelays
-	reports   *workerReports
-	offers    offerBounds
-	hopBytes  *hopBytes
-	departure atomic.Pointer[departure] // nil until the node stops
-	ending    context.Context           // ends when the node does
-	end       context.CancelFunc
+	local       *Inbound // handler of the worker beside this one, nil if there is none
+	weights     *weights
+	budget      *serviceBudget
+	retryDelays *returns
+	nested      *nestedCalls
+	turned      *turnedAway
+	ackDelays   *ackDelays
+	reports     *workerReports
+	offers      offerBounds
+	hopBytes    *hopBytes
+	departure   atomic.Pointer[departure] // nil until the node stops
+	ending      context.Context           // ends when the node does
+	end         context.CancelFunc
 }
 
-// UseLocal lets the handler reach the worker beside it without a connection
-// between nodes. It is called before the first request.
+// UseLocal lets the handler reach the worker beside it without a connection between nodes. It
+// must be called before the first request.
 func (out *Outbound) UseLocal(local *Inbound) {
 	out.local = local
 	local.charge = func(service string, arrivals float64) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// nodes is the number of nodes in the mesh, as far as the catalog tells.
+// nodes returns the number of nodes of the mesh according to the catalog, at least 1.
 func (out *Outbound) nodes() int {
 	view, _ := out.config.Holder.Current(time.Now())
 	if view == nil {
@@ -63,7 +63,7 @@
 // NewOutbound returns the handler of the outbound listener.
 func NewOutbound(config Config) *Outbound {
 	config = config.withDefaults()
-	out := &Outbound{config: config, gate: newGate(), random: rand.New(config.Random)}
+	out := &Outbound{config: config, inFlight: newGate(), random: rand.New(config.Random)}
 	out.pool = newPool(config.Dial, math.MaxInt, config.Limits.IdlePerNode)
 	out.transport = newTransport(config.Dial, 0, config.Limits.IdlePerNode)
 	settings := balance.DefaultSettings(config.Zone, config.Region)
@@ -71,13 +71,13 @@
 	settings.RegionBytes = config.Limits.RegionBytes
 	out.chooser = &chooser{balancer: balance.New(settings, rand.New(config.Random)), logger: config.Logger}
 	out.retries = newRetryBucket(config.Limits)
-	out.metrics = newMetrics(config, "outbound", gauges{inFlight: out.gate.count})
+	out.metrics = newMetrics(config, "outbound", gauges{inFlight: out.inFlight.count})
 	out.weights = newWeights(rand.New(config.Random))
 	out.budget = newServiceBudget(config.Limits)
-	out.returns = newReturns()
+	out.retryDelays = newReturns()
 	out.nested = newNestedCalls()
 	out.turned = newTurnedAway()
-	out.signs = newSignDelays()
+	out.ackDelays = newAckDelays()
 	out.reports = newWorkerReports()
 	out.offers = boundOffers(config.Limits.LinkMbps)
 	out.hopBytes = newHopBytes(config.Registerer)
@@ -92,11 +92,11 @@
 // ServeHTTP implements http.Handler.
 func (out *Outbound) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	x := out.begin(writer, request)
-	if !out.gate.enter() {
+	if !out.inFlight.enter() {
 		out.metrics.conclude(x, refuse(causeDraining, time.Second, "send it again through another node"))
 		return
 	}
-	defer out.gate.leave()
+	defer out.inFlight.leave()
 	ended := out.handle(x)
 	if ended.outcome != outcome.Answered {
 		out.config.Calls.fail(x.id)
@@ -104,7 +104,7 @@
 	out.metrics.conclude(x, ended)
 }
 
-// begin reads the request's context. An edge believes none of it but the id.
+// begin reads the request's context from its headers. An edge accepts only the request id.
 func (out *Outbound) begin(writer http.ResponseWriter, request *http.Request) *exchange {
 	x := &exchange{
 		writer:      writer,
@@ -131,28 +131,29 @@
 	return x
 }
 
-// newID returns an id that no other request has.
+// newID returns a random id that is unique in practice.
 func (out *Outbound) newID() string {
 	const base = 36
 	return strconv.FormatUint(out.random.Uint64(), base) + strconv.FormatUint(out.random.Uint64(), base)
 }
 
-// newAttempt returns a short id for one try: it only has to differ from that of
-// the request before on the same connection.
+// newAttempt returns a short id for one attempt, which only has to differ from that of the
+// previous request on the same connection.
 func (out *Outbound) newAttempt() string {
 	const base = 36
 	return strconv.FormatUint(uint64(out.random.Uint32()), base)
 }
 
-// Drain refuses new requests as not run from now on. The outbound handler
-// drains after the inbound one has ended: the worker may need it until then.
-func (out *Outbound) Drain() { out.gate.drain() }
+// Drain refuses new requests as not run from now on. The outbound handler must drain after the
+// inbound one has finished, because the worker may need it until then.
+func (out *Outbound) Drain() { out.inFlight.drain() }
 
 // InFlight returns the number of requests that have not ended.
-func (out *Outbound) InFlight() int { return out.gate.count() }
+func (out *Outbound) InFlight() int { return out.inFlight.count() }
 
-// Wait returns when the handler drains and all requests have ended.
-func (out *Outbound) Wait(ctx context.Context) error { return out.gate.wait(ctx) }
+// Wait returns when the handler drains and all requests have ended, or with an error when ctx
+// ends.
+func (out *Outbound) Wait(ctx context.Context) error { return out.inFlight.wait(ctx) }
 
 // classify finds the route.
 func (out *Outbound) classify(next stage) stage {
@@ -173,8 +174,7 @@
 	}
 }
 
-// beginCatalog reads the request's context where callers have headers of their
-// own.
+// beginCatalog reads the request's context when callers use headers of their own.
 func (out *Outbound) beginCatalog(x *exchange) {
 	protocol := &out.config.Protocol
 	x.id = get(x.request.Header, protocol.RequestID)
@@ -195,7 +195,7 @@
 		}
 		view, current := out.config.Holder.Current(x.started)
 		if !current {
-			return unready()
+			return refuseUnconfigured()
 		}
 		x.view = view
 		x.route = view.Match(hostOf(x.request), x.request.URL.Path, x.request.Method)
@@ -207,12 +207,12 @@
 	}
 }
 
-// knowledgeWait is after how long a request is to come back that this node knows too little
-// to serve: other nodes and the store tell it what it lacks in about that time.
+// knowledgeWait is the Retry-After of a request that this node lacks the data to serve. Other
+// nodes and the store deliver the data in about that time.
 const knowledgeWait = 200 * time.Millisecond
 
-// unready is the refusal of a node that knows no configuration yet.
-func unready() result {
+// refuseUnconfigured returns the refusal of a node that has no configuration yet.
+func refuseUnconfigured() result {
 	refused := refuse(causeLease, 0, "send it again, this node has no configuration yet")
 	refused.retryAfter = knowledgeWait
 	return refused
--- a/internal/traffic/outcome.go
+++ b/internal/traffic/outcome.go
@@ -9,14 +9,14 @@
 	"sliphead/internal/outcome"
 )
 
-// setOutcome writes the headers that every answer carries.
-func (x *exchange) setOutcome(to *fields, told outcome.Outcome) {
-	if x.between {
-		silenceHeaders(to.header)
-		to.set(hopHeader, encodeHopAnswer(x, told, nil))
+// setOutcome sets the headers that every response carries.
+func (x *exchange) setOutcome(to *fields, reported outcome.Outcome) {
+	if x.fromNode {
+		suppressDefaultHeaders(to.header)
+		to.set(hopHeader, encodeHopReply(x, reported, nil))
 		return
 	}
-	to.set(outcome.Header, string(told))
+	to.set(outcome.Header, string(reported))
 	if x.protocol == nil {
 		to.set(outcome.RequestID, x.id)
 	}
@@ -31,8 +31,8 @@
 	}
 }
 
-// conclude turns a result that was not passed on into the final answer and
-// cuts the connection under an answer that is not whole.
+// conclude sends a result that was not forwarded as the final response, and cuts the
+// connection under an incomplete response.
 func conclude(x *exchange, ended result) {
 	if ended.cut {
 		panic(http.ErrAbortHandler)
@@ -45,8 +45,8 @@
 		return
 	}
 	x.limitWriting(time.Now())
-	if x.between {
-		concludeBetween(x, ended)
+	if x.fromNode {
+		refuseToNode(x, ended)
 		return
 	}
 	header := newFields(x.writer.Header())
@@ -69,21 +69,22 @@
 	header.set("Content-Length", strconv.Itoa(len(text)))
 	x.writer.WriteHeader(ended.status)
 	if x.request.Method != http.MethodHead {
-		_, _ = x.writer.Write([]byte(text)) // an error means that the caller has gone
+		_, _ = x.writer.Write([]byte(text)) // an error means that the caller has disconnected
 	}
 }
 
-// writeGrace is how long an answer may take to be written after its deadline.
+// writeGrace is the time after its deadline within which a response may still be written.
 const writeGrace = 5 * time.Second
 
-// limitWriting ends writes to a caller that does not read. Each request sets
-// its own limit: the server does not take back the one before.
+// limitWriting ends writes to a caller that does not read. Each request sets its own deadline,
+// because the server does not reset the previous one.
 func (x *exchange) limitWriting(deadline time.Time) {
 	controller := http.NewResponseController(x.writer)
-	_ = controller.SetWriteDeadline(deadline.Add(writeGrace)) // not offered by all writers
+	_ = controller.SetWriteDeadline(deadline.Add(writeGrace)) // not supported by all writers
 }
 
-// retryAfter tells a wait: to the millisecond where callers understand it.
+// retryAfter formats a delay for Retry-After: with milliseconds if callers support it, else in
+// whole seconds.
 func (x *exchange) retryAfter(wait time.Duration) string {
 	if x.protocol == nil {
 		return seconds(wait)
--- a/internal/traffic/pool.go
+++ b/internal/traffic/pool.go
@@ -9,40 +9,39 @@
 	"time"
 )
 
-// pool holds connections on which the goroutine of a request makes its own
-// round trip. The transport of net/http hands each request to two other
-// goroutines and back; on a busy machine each hand-over waits for a processor.
-// Bodies that stream still go by a transport, which can read an answer while
-// the body is sent.
+// pool manages connections on which the goroutine of a request performs its own round trip.
+// The transport of net/http hands each request to two other goroutines and back, and on a busy
+// machine each hand-over waits for a processor. Streamed bodies still use a transport, which
+// can read a response while the body is sent.
 type pool struct {
-	dial  DialFunc // gives *sealedConn
-	bound int      // connections in all
-	idle  int      // idle connections kept to each address
-
-	mutex  sync.Mutex
-	open   int
-	closed bool
-	kept   map[string][]*pooledConn // idle, the latest used last
-	rests  map[string]restLimit     // by address
-	swept  time.Time
+	dial    DialFunc // returns *sealedConn
+	maxOpen int      // maximum number of connections
+	maxIdle int      // maximum number of idle connections per address
+
+	mutex         sync.Mutex
+	open          int
+	closed        bool
+	idleByAddress map[string][]*pooledConn // least recently used first
+	idleLimits    map[string]idleLimit     // by address
+	lastSweep     time.Time
 }
 
-// idleLife is how long an idle connection is kept: less than the other side
-// does, so that it is seldom the other side that closes it.
-const idleLife = defaultIdleTimeout / 2
+// maxIdleTime is the time for which an idle connection is retained. It is shorter than the
+// idle timeout of the other side, so that the other side seldom closes the connection first.
+const maxIdleTime = defaultIdleTimeout / 2
 
-// errPoolFull says that all connections are in use.
+// errPoolFull reports that all connections are in use.
 var errPoolFull = errors.New("all connections are in use")
 
 func newPool(dial DialFunc, bound, idle int) *pool {
-	return &pool{dial: dial, bound: bound, idle: idle, kept: map[string][]*pooledConn{}}
+	return &pool{dial: dial, maxOpen: bound, maxIdle: idle, idleByAddress: map[string][]*pooledConn{}}
 }
 
-// take returns an idle connection that is still open, or opens one within a time,
-// 0 for that of the pool's dialer.
-func (p *pool) take(ctx context.Context, address string, within time.Duration) (*pooledConn, error) {
-	if within > 0 {
-		bounded, cancel := context.WithTimeout(ctx, within)
+// take returns an idle connection that is still usable, or opens one within the timeout; 0
+// stands for the timeout of the pool's dialer.
+func (p *pool) take(ctx context.Context, address string, timeout time.Duration) (*pooledConn, error) {
+	if timeout > 0 {
+		bounded, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		ctx = bounded
 	}
@@ -52,28 +51,28 @@
 			return p.connect(ctx, address)
 		}
 		now := time.Now()
-		conn.rested = now.Sub(conn.idleSince)
-		if conn.mayBeIdle(conn.rested) && p.remembered(address, conn.rested, now) && conn.quiet() {
-			conn.heard = conn.received.Load()
-			conn.taken = now
+		conn.idleFor = now.Sub(conn.idleSince)
+		if conn.withinPeerIdleTimeout(conn.idleFor) && p.withinIdleLimit(address, conn.idleFor, now) && conn.isUsable() {
+			conn.receivedBefore = conn.received.Load()
+			conn.takenAt = now
 			return conn, nil
 		}
 		conn.close()
 	}
 }
 
-// pop removes the latest used idle connection, nil if there is none.
+// pop removes the most recently used idle connection, nil if there is none.
 func (p *pool) pop(address string) *pooledConn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	kept := p.kept[address]
-	if len(kept) == 0 {
+	idle := p.idleByAddress[address]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := len(kept) - 1
-	conn := kept[last]
-	kept[last] = nil
-	p.kept[address] = kept[:last]
+	last := len(idle) - 1
+	conn := idle[last]
+	idle[last] = nil
+	p.idleByAddress[address] = idle[:last]
 	return conn
 }
 
@@ -97,7 +96,7 @@
 func (p *pool) reserve() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.open >= p.bound {
+	if p.open >= p.maxOpen {
 		return false
 	}
 	p.open++
@@ -110,10 +109,10 @@
 	p.open--
 }
 
-// put keeps a connection for the next request.
+// put returns a connection to the pool for the next request.
 func (p *pool) put(conn *pooledConn) {
 	conn.idleSince = time.Now()
-	if !p.keep(conn) {
+	if !p.putIdle(conn) {
 		conn.close()
 	}
 	for _, old := range p.sweep(conn.idleSince) {
@@ -121,69 +120,70 @@
 	}
 }
 
-func (p *pool) keep(conn *pooledConn) bool {
+func (p *pool) putIdle(conn *pooledConn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	kept := p.kept[conn.address]
-	if p.closed || len(kept) >= p.idle {
+	idle := p.idleByAddress[conn.address]
+	if p.closed || len(idle) >= p.maxIdle {
 		return false
 	}
-	p.kept[conn.address] = append(kept, conn)
+	p.idleByAddress[conn.address] = append(idle, conn)
 	return true
 }
 
-// sweep removes the connections of all addresses that have been idle for long.
+// sweep removes the connections of all addresses that have been idle for longer than
+// maxIdleTime.
 func (p *pool) sweep(now time.Time) []*pooledConn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if now.Sub(p.swept) < idleLife/2 {
+	if now.Sub(p.lastSweep) < maxIdleTime/2 {
 		return nil
 	}
-	p.swept = now
-	return p.removeIdle(now.Add(-idleLife))
+	p.lastSweep = now
+	return p.removeIdle(now.Add(-maxIdleTime))
 }
 
-// distrust closes the idle connections to an address that were last used before a time:
-// one like them was silent, and new ones may work.
-func (p *pool) distrust(address string, before time.Time) {
+// closeIdleBefore closes the idle connections to an address that were last used before a time.
+// It is called after such a connection was unresponsive; new connections may work.
+func (p *pool) closeIdleBefore(address string, before time.Time) {
 	p.mutex.Lock()
-	kept := p.kept[address]
+	idle := p.idleByAddress[address]
 	old := 0
-	for old < len(kept) && kept[old].idleSince.Before(before) {
+	for old < len(idle) && idle[old].idleSince.Before(before) {
 		old++
 	}
-	doubted := slices.Clone(kept[:old])
-	p.kept[address] = slices.Clone(kept[old:])
+	removed := slices.Clone(idle[:old])
+	p.idleByAddress[address] = slices.Clone(idle[old:])
 	p.mutex.Unlock()
-	for _, conn := range doubted {
+	for _, conn := range removed {
 		conn.close()
 	}
 }
 
-// removeIdle removes the connections that have been idle since before a time.
-// Those of an address are in the order of their last use.
+// removeIdle removes the connections that have been idle since before a time. The connections
+// of each address are ordered by their last use. The mutex must be held.
 func (p *pool) removeIdle(before time.Time) []*pooledConn {
 	var removed []*pooledConn
-	for address, kept := range p.kept {
+	for address, idle := range p.idleByAddress {
 		old := 0
-		for old < len(kept) && kept[old].idleSince.Before(before) {
+		for old < len(idle) && idle[old].idleSince.Before(before) {
 			old++
 		}
-		removed = append(removed, kept[:old]...)
-		if old == len(kept) {
-			delete(p.kept, address)
+		removed = append(removed, idle[:old]...)
+		if old == len(idle) {
+			delete(p.idleByAddress, address)
 		} else if old > 0 {
-			p.kept[address] = append([]*pooledConn(nil), kept[old:]...)
+			p.idleByAddress[address] = append([]*pooledConn(nil), idle[old:]...)
 		}
 	}
 	return removed
 }
 
-// close closes the idle connections, and those in use once they are idle.
+// close closes the idle connections at once, and those in use when they are put back.
 func (p *pool) close() {
 	p.mutex.Lock()
 	p.closed = true
-	removed := p.removeIdle(time.Now().Add(idleLife))
+	removed := p.removeIdle(time.Now().Add(maxIdleTime))
 	p.mutex.Unlock()
 	for _, conn := range removed {
 		conn.close()
--- a/internal/traffic/pool_test.go
+++ b/internal/traffic/pool_test.go
@@ -17,8 +17,8 @@
 	"sliphead/internal/snapshot"
 )
 
-// ends dials a connection and tells its other end.
-func ends(t *testing.T, network string) (DialFunc, chan net.Conn) {
+// dialerWithPeers returns a dialer and a channel of the other ends of its connections.
+func dialerWithPeers(t *testing.T, network string) (DialFunc, chan net.Conn) {
 	far := make(chan net.Conn, 4)
 	if network == "pipe" {
 		return func(context.Context, string, string) (net.Conn, error) {
@@ -40,19 +40,19 @@
 	}, far
 }
 
-// An idle connection that the other side closed, or on which an answer came
-// that nobody asked for, does not carry another request.
-func TestIdleConnectionIsLookedAt(t *testing.T) {
+// An idle connection that the other side has closed, or on which an unexpected response has
+// arrived, is not reused.
+func TestBrokenIdleConnectionIsNotReused(t *testing.T) {
 	for _, network := range []string{"tcp", "pipe"} {
 		for name, disturb := range map[string]func(net.Conn){
-			"closed":      func(far net.Conn) { _ = far.Close() },
-			"late answer": func(far net.Conn) { _, _ = far.Write([]byte("HTTP/1.1 200 OK\r\n")) },
+			"closed":        func(far net.Conn) { _ = far.Close() },
+			"late response": func(far net.Conn) { _, _ = far.Write([]byte("HTTP/1.1 200 OK\r\n")) },
 		} {
-			if network == "pipe" && name == "late answer" {
-				continue // net.Pipe holds nothing: what is written there is read or waits
+			if network == "pipe" && name == "late response" {
+				continue // net.Pipe has no buffer: a write waits for a read
 			}
 			t.Run(network+" "+name, func(t *testing.T) {
-				dial, far := ends(t, network)
+				dial, far := dialerWithPeers(t, network)
 				p := newPool(sealedDial(dial, time.Minute), 1, 1)
 				defer p.close()
 				first, err := p.take(t.Context(), "", 0)
@@ -72,34 +72,34 @@
 				defer renewed.close()
 				defer func() { _ = (<-far).Close() }()
 				_, err = p.take(t.Context(), "", 0)
-				must.ErrorIs(t, err, errPoolFull) // the closed one no longer counts, the new one does
+				must.ErrorIs(t, err, errPoolFull) // the closed connection is no longer counted, the new one is
 			})
 		}
 	}
 }
 
-func TestPoolClosesWhatIsIdleForLong(t *testing.T) {
-	dial, far := ends(t, "pipe")
+func TestPoolClosesConnectionsIdleTooLong(t *testing.T) {
+	dial, far := dialerWithPeers(t, "pipe")
 	p := newPool(sealedDial(dial, time.Minute), math.MaxInt, 8)
 	defer p.close()
 	old, err := p.take(t.Context(), "old", 0)
 	must.NoError(t, err)
 	p.put(old)
-	old.idleSince = time.Now().Add(-idleLife)
-	p.swept = time.Time{}
+	old.idleSince = time.Now().Add(-maxIdleTime)
+	p.lastSweep = time.Time{}
 	fresh, err := p.take(t.Context(), "fresh", 0)
 	must.NoError(t, err)
 	p.put(fresh)
-	must.MapNotContainsKey(t, p.kept, "old")
+	must.MapNotContainsKey(t, p.idleByAddress, "old")
 	must.Eq(t, 1, p.open)
 	_, err = (<-far).Read(make([]byte, 1))
 	must.Eq(t, io.EOF, err)
 }
 
-// The end of a request's context may interrupt its connection at any later
-// moment, so such a connection carries no other request.
-func TestInterruptedConnectionIsNotKept(t *testing.T) {
-	dial, _ := ends(t, "pipe")
+// The end of a request's context may interrupt its connection at any later time, so such a
+// connection is not reused.
+func TestInterruptedConnectionIsNotReused(t *testing.T) {
+	dial, _ := dialerWithPeers(t, "pipe")
 	p := newPool(sealedDial(dial, time.Minute), 1, 1)
 	conn, err := p.take(t.Context(), "", 0)
 	must.NoError(t, err)
@@ -110,12 +110,13 @@
 	must.Zero(t, p.open)
 }
 
-// An answer's header is bounded, and answers before the final one are passed over.
-func TestAnswersOfAWorker(t *testing.T) {
-	endless := "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxAnswerHeader)
+// The length of a response's header is bounded, and informational responses before the final
+// one are skipped.
+func TestWorkerResponseParsing(t *testing.T) {
+	endless := "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxResponseHeader)
 	for name, each := range map[string]struct {
 		answer, outcome string
-		kept            int // connections kept for the next request
+		kept            int // idle connections for the next request
 	}{
 		"early hints":       {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "answered", 1},
 		"only early hints":  {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 9), "unknown", 0},
@@ -123,11 +124,11 @@
 		"not HTTP":          {"hello\r\n\r\n", "unknown", 0},
 		"other protocol":    {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", "unknown", 0},
 		"no body":           {"HTTP/1.1 204 No Content\r\n\r\n", "answered", 1},
-		"two answers":       {"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "answered", 0},
+		"two responses":     {"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "answered", 0},
 		"closed afterwards": {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", "answered", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dial, far := ends(t, "tcp")
+			dial, far := dialerWithPeers(t, "tcp")
 			m := newMesh(t, nil, func(config *Config) { config.WorkerAddress = "worker:1" })
 			m.in.worker.pool.dial = sealedDial(dial, time.Minute)
 			go func() {
@@ -140,14 +141,14 @@
 			response, _, err := m.call(t, "GET", "/order", "")
 			must.NoError(t, err)
 			must.Eq(t, each.outcome, response.Header.Get(outcome.Header))
-			must.NotEq(t, http.StatusGatewayTimeout, response.StatusCode) // ended at once, not at the deadline
-			must.Eq(t, each.kept, len(m.in.worker.pool.kept["worker:1"]))
+			must.NotEq(t, http.StatusGatewayTimeout, response.StatusCode) // ended immediately, not at the deadline
+			must.Eq(t, each.kept, len(m.in.worker.pool.idleByAddress["worker:1"]))
 		})
 	}
 }
 
-// A credential that holds a line end is not sent.
-func TestCredentialWithALineEndIsRefused(t *testing.T) {
+// A credential that contains a line break is not sent.
+func TestCredentialWithLineBreakIsRefused(t *testing.T) {
 	m, worker := newFaultyMesh(t, nil)
 	view, _ := m.holder.Current(time.Now())
 	route := *view.Route("order")
@@ -159,25 +160,25 @@
 	must.Zero(t, worker.runs("a"))
 }
 
-// After a reset of a connection that had rested, others that have rested as long
-// are not used; those used lately are, and all are once that is long ago.
-func TestForgottenConnections(t *testing.T) {
+// After a reset of an idle connection, connections to that address that have been idle for as
+// long are not reused. Recently used ones are, and the limit expires.
+func TestIdleConnectionsAfterReset(t *testing.T) {
 	for name, each := range map[string]struct {
 		rested, ago time.Duration
 		reused      bool
 	}{
-		"rested as long":  {rested: 300 * time.Millisecond, reused: false},
-		"used lately":     {rested: 10 * time.Millisecond, reused: true},
-		"long ago":        {rested: 300 * time.Millisecond, ago: remembersRest, reused: true},
+		"idle as long":    {rested: 300 * time.Millisecond, reused: false},
+		"recently used":   {rested: 10 * time.Millisecond, reused: true},
+		"reset long ago":  {rested: 300 * time.Millisecond, ago: idleLimitTTL, reused: true},
 		"another address": {rested: 300 * time.Millisecond, ago: -1, reused: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dial, far := ends(t, "tcp")
+			dial, far := dialerWithPeers(t, "tcp")
 			p := newPool(sealedDial(dial, time.Minute), 2, 2)
 			defer p.close()
 			conn, err := p.take(t.Context(), "worker", 0)
 			must.NoError(t, err)
-			must.Zero(t, conn.rested)
+			must.Zero(t, conn.idleFor)
 			defer func() { _ = (<-far).Close() }()
 			p.put(conn)
 			conn.idleSince = time.Now().Add(-each.rested)
@@ -185,7 +186,7 @@
 			if each.ago < 0 {
 				address = "other"
 			}
-			p.noteForgotten(address, 400*time.Millisecond, time.Now().Add(-max(0, each.ago)))
+			p.recordIdleReset(address, 400*time.Millisecond, time.Now().Add(-max(0, each.ago)))
 			again, err := p.take(t.Context(), "worker", 0)
 			must.NoError(t, err)
 			must.Eq(t, each.reused, again == conn)
@@ -194,15 +195,15 @@
 	}
 }
 
-// A worker that forgets connections which have rested is found out by the first
-// reset, and orders that follow get their answers.
-func TestDispatchLearnsOfForgottenConnections(t *testing.T) {
+// The first reset by a worker that drops idle connections retires the other idle connections
+// to it, and the requests that follow are served.
+func TestResetRetiresIdleConnections(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	rest := func() {
 		direct, _ := m.nodes[0].in.worker.connections()
 		direct.mutex.Lock()
 		defer direct.mutex.Unlock()
-		for _, kept := range direct.kept {
+		for _, kept := range direct.idleByAddress {
 			for _, conn := range kept {
 				conn.idleSince = time.Now().Add(-time.Second)
 			}
@@ -217,23 +218,23 @@
 	must.Eq(t, http.StatusBadGateway, response.StatusCode)
 	rest()
 	direct, _ := m.nodes[0].in.worker.connections()
-	must.False(t, direct.remembered(m.nodes[0].worker.address(), time.Second, time.Now()))
+	must.False(t, direct.withinIdleLimit(m.nodes[0].worker.address(), time.Second, time.Now()))
 	response, _, err = m.call("POST", "/order/", "cards")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode)
 }
 
-// Whether silence is endured is asked when there was no sign in time, not when
-// the request began: a stop may have begun in between.
-func TestSilenceIsJudgedWhenItIsNoticed(t *testing.T) {
+// waitsForDeadline is called when the acknowledgement timeout expires, not when the request
+// starts: the node may begin to stop in between.
+func TestStoppingIsCheckedAtAckTimeout(t *testing.T) {
 	for _, endures := range []bool{false, true} {
-		dial, far := ends(t, "tcp")
+		dial, far := dialerWithPeers(t, "tcp")
 		p := newPool(sealedDial(dial, time.Minute), 1, 1)
 		conn, err := p.take(t.Context(), "", 0)
 		must.NoError(t, err)
 		other := <-far
 		asked := make(chan struct{})
-		conn.awaitSign(&hop{silence: time.Millisecond, endures: func() bool {
+		conn.startAckTimer(&hop{ackTimeout: time.Millisecond, waitsForDeadline: func() bool {
 			defer close(asked)
 			return endures
 		}})
@@ -244,7 +245,7 @@
 			_, err = conn.Read(make([]byte, 1)) // not interrupted
 			must.NoError(t, err)
 		} else {
-			waitFor(t, conn.isSilent)
+			waitFor(t, conn.isUnresponsive)
 		}
 		_ = other.Close()
 		conn.close()
--- a/internal/traffic/protocol.go
+++ b/internal/traffic/protocol.go
@@ -8,37 +8,36 @@
 	"sliphead/internal/outcome"
 )
 
-// Protocol names the headers that callers and workers use where they are not
-// sliphead's own. Names are in canonical form. The zero Protocol stands for
-// sliphead's own.
+// Protocol names the headers that callers and workers use instead of sliphead's own. Names are
+// in canonical form. The zero Protocol stands for sliphead's own headers.
 type Protocol struct {
-	RequestID      string // names a request, on requests and answers
+	RequestID      string // identifies a request, on requests and responses
 	Deadline       string // milliseconds left, on requests
-	CallerService  string // on requests to workers: the service beside the node that took the request
-	TargetInstance string // on requests to workers: any other instance is to refuse
-	NotExecuted    string // on a worker's answers: it did not run the request
-	Signature      string // on a worker's answers: a success without it is no answer of a worker
+	CallerService  string // on requests to workers: the service beside the node that received the request
+	TargetInstance string // on requests to workers: any other instance must refuse the request
+	NotExecuted    string // on a worker's responses: it did not run the request
+	Signature      string // on a worker's responses: a success without it does not come from a worker
 	Tenant         string // on requests to workers: the tenant whose key the caller gave
-	Instance       string // on a worker's health answers: its id
-	ColdRemaining  string // on a worker's health answers: milliseconds for which it stays cold
-	Limit          string // on a worker's answers: requests a second that it takes from all nodes together
-	Leaving        string // on a worker's answers: 1 when it leaves
+	Instance       string // on a worker's health responses: its id
+	ColdRemaining  string // on a worker's health responses: milliseconds for which it remains cold
+	Limit          string // on a worker's responses: requests per second that it accepts from all nodes together
+	Leaving        string // on a worker's responses: 1 when it drains
 }
 
 // own reports whether callers and workers use sliphead's own headers.
 func (p *Protocol) own() bool { return p.RequestID == "" }
 
-// sets reports whether a header is one that the system sets itself on requests
-// to workers, so that callers' values count for nothing.
-func (p *Protocol) sets(name string) bool {
+// setsOnWorkerRequest reports whether sliphead itself sets a header on requests to workers, so
+// that values from callers are dropped.
+func (p *Protocol) setsOnWorkerRequest(name string) bool {
 	return name == p.CallerService || name == p.TargetInstance || name == p.Tenant
 }
 
-// acceptCaller turns a caller's headers into sliphead's own and drops those
-// that a caller must not set.
+// acceptCaller removes the headers that a caller must not set and copies the caller's deadline
+// to sliphead's header.
 func (p *Protocol) acceptCaller(header http.Header) {
 	for name := range header {
-		if strings.HasPrefix(name, internalPrefix) || p.sets(name) {
+		if strings.HasPrefix(name, internalPrefix) || p.setsOnWorkerRequest(name) {
 			delete(header, name)
 		}
 	}
@@ -47,7 +46,7 @@
 	}
 }
 
-// workerFields are the headers of a request to a worker.
+// workerFields returns the headers of a request to a worker.
 func (p *Protocol) workerFields(x *exchange) []field {
 	fields := make([]field, 0, usualFields)
 	fields = append(fields,
@@ -63,21 +62,20 @@
 	return fields
 }
 
-// belongsElsewhere reports whether an answer names another request: one that
-// came late, in the place of the one awaited.
-func (p *Protocol) belongsElsewhere(x *exchange, response *http.Response) bool {
+// belongsToOtherRequest reports whether a response carries the id of another request, as a
+// late response to an earlier one does.
+func (p *Protocol) belongsToOtherRequest(x *exchange, response *http.Response) bool {
 	id := get(response.Header, p.RequestID)
 	return id != "" && id != x.id
 }
 
-// saysItLeaves reports whether a worker's answer says that it leaves.
+// saysItLeaves reports whether a worker's response announces that it drains.
 func (p *Protocol) saysItLeaves(header http.Header) bool {
 	const leaves = "1"
 	return strings.TrimSpace(get(header, p.Leaving)) == leaves
 }
 
-// workerRefused reports whether a worker's answer says that it did not run the
-// request.
+// workerRefused reports whether a worker's response states that it did not run the request.
 func (p *Protocol) workerRefused(response *http.Response) bool {
 	return response.StatusCode == http.StatusMisdirectedRequest || hasHeader(response.Header, p.NotExecuted)
 }
--- a/internal/traffic/regions_test.go
+++ b/internal/traffic/regions_test.go
@@ -10,10 +10,10 @@
 	"sliphead/internal/snapshot"
 )
 
-// A request stays in the regions that its route allows: by the choice of the caller's
-// node, and where that node's view is older, by the worker's node. Where none is left, it
-// is refused as not run.
-func TestRequestStaysInItsRegions(t *testing.T) {
+// A request stays in the regions that its route allows: by the choice of the caller's node,
+// and if that node's view is outdated, by the check of the worker's node. If no worker
+// remains, it is refused as not run.
+func TestRequestStaysInAllowedRegions(t *testing.T) {
 	m := newCatalogMesh(t, 2)
 	m.publish(func(route *snapshot.Route) { route.Regions = []string{"r2"} })
 	response, _, err := m.call(http.MethodPost, "/order/1", "two")
--- a/internal/traffic/request.go
+++ b/internal/traffic/request.go
@@ -11,8 +11,8 @@
 	"sliphead/internal/fault"
 )
 
-// writeRequest writes the header of the next hop's request. It is flushed when
-// the body is only offered.
+// writeRequest writes the header of the request to the next hop. It flushes the header if the
+// body waits for 100 Continue.
 func writeRequest(writer *bufio.Writer, x *exchange, to *hop) error {
 	if err := to.validate(); err != nil {
 		return err
@@ -36,32 +36,33 @@
 	return nil
 }
 
-// offers reports whether the request goes out without its body at first.
+// offers reports whether the request is first sent without its body.
 func (h *hop) offers(x *exchange) bool { return h.offer && x.body.length > 0 }
 
 func writeStrings(writer *bufio.Writer, texts ...string) {
 	for _, text := range texts {
-		_, _ = writer.WriteString(text) // Flush tells its error
+		_, _ = writer.WriteString(text) // Flush returns its error
 	}
 }
 
-// expectsBody reports whether a length is told even when there is no body.
+// expectsBody reports whether a request of this method carries Content-Length even without a
+// body.
 func expectsBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// validate refuses a value that would end its line.
+// validate rejects header values that contain a line break or a NUL byte.
 func (h *hop) validate() error {
 	for _, each := range h.fields {
 		if strings.ContainsAny(each.value, "\r\n\x00") {
-			return fault.New(fault.Settings, "correct the credential, it holds a line end", "the value of %s cannot be sent", each.name)
+			return fault.New(fault.Settings, "correct the credential, it holds a line end", "the value of header %s contains a line break or a NUL byte", each.name)
 		}
 	}
 	return nil
 }
 
-// writeEndToEnd writes the headers that are meant for the other end, as
-// copyEndToEnd copies them.
+// writeEndToEnd writes the headers that copyEndToEnd would copy, without those that the hop
+// sets.
 func writeEndToEnd(writer *bufio.Writer, header http.Header, to *hop) {
 	connection := header["Connection"]
 	for name, values := range header {
@@ -74,12 +75,12 @@
 	}
 }
 
-// endToEnd reports whether a header of a request is passed on.
+// endToEnd reports whether a request header is forwarded.
 func endToEnd(name string) bool {
 	return !strings.HasPrefix(name, internalPrefix) && name != "Content-Length" && name != "Host" && !slices.Contains(hopByHop, name)
 }
 
-// listed reports whether Connection headers name a header.
+// listed reports whether the Connection headers list a header.
 func listed(connection []string, name string) bool {
 	for _, list := range connection {
 		for each := range strings.SplitSeq(list, ",") {
--- a/internal/traffic/retry.go
+++ b/internal/traffic/retry.go
@@ -10,7 +10,7 @@
 // oneRetry is the cost of a retry, in thousandths.
 const oneRetry = 1000
 
-// retryBucket bounds the retries of a node to a share of its requests.
+// retryBucket is a token bucket that bounds the retries of a node to a share of its requests.
 type retryBucket struct {
 	mutex  sync.Mutex
 	tokens float64
@@ -40,17 +40,18 @@
 	return true
 }
 
-// worthRetrying reports whether a failed try may be followed by another: the
-// request did not run or may run twice, nobody below has spent retries on it,
-// and its body can be sent again.
-func worthRetrying(x *exchange, failure *result) bool {
+// mayRetry reports whether another attempt may follow a failed one: the request did not run or
+// may run twice, no lower level of the call tree has spent its retries on it, and its body can
+// be sent again.
+func mayRetry(x *exchange, failure *result) bool {
 	mayRunAgain := failure.outcome == outcome.NotRun || x.route.Repeatable
 	temporary := failure.status >= http.StatusInternalServerError && failure.status != http.StatusLoopDetected
 	return mayRunAgain && temporary && !failure.final &&
 		failure.cause != causeCallerGone && x.context.Err() == nil && x.body.replayable()
 }
 
-// spendRetry takes a retry from the budgets of the call tree and of the node.
+// spendRetry takes a retry from the budgets of the call tree and of the node, and reports
+// whether both allow it.
 func (out *Outbound) spendRetry(x *exchange) bool {
 	if x.budget < oneRetry || !out.retries.take() {
 		return false
--- a/internal/traffic/roundtrip.go
+++ b/internal/traffic/roundtrip.go
@@ -8,13 +8,13 @@
 	"sliphead/internal/fault"
 )
 
-// roundTrip sends a request and reads the answer's header. With an offer, the
-// body goes out once the other side asks for it.
+// roundTrip sends a request and reads the response's header. With an offer, the body is sent
+// once the other side requests it.
 func (c *pooledConn) roundTrip(x *exchange, to *hop) (*http.Response, error) {
-	c.started = false
-	c.body = nil
-	sign := c.awaitSign(to)
-	defer sign.Stop()
+	c.bodyStarted = false
+	c.bodyWritten = nil
+	timer := c.startAckTimer(to)
+	defer timer.Stop()
 	began := time.Now()
 	if err := writeRequest(c.writer, x, to); err != nil {
 		return nil, err
@@ -24,35 +24,36 @@
 			return nil, err
 		}
 	}
-	c.limit = maxAnswerHeader
+	c.readLimit = maxResponseHeader
 	for range maxInformational {
 		response, err := http.ReadResponse(c.reader, x.request)
 		if err != nil {
 			return nil, err
 		}
-		sign.Stop()
-		if !c.signed() {
-			return nil, errSilent
+		timer.Stop()
+		if !c.acknowledge() {
+			return nil, errUnresponsive
 		}
-		if to.onSign != nil {
-			to.onSign(time.Since(began))
+		if to.onAck != nil {
+			to.onAck(time.Since(began))
 		}
 		if response.StatusCode >= http.StatusOK || response.StatusCode == http.StatusSwitchingProtocols {
-			c.limit = math.MaxInt64
+			c.readLimit = math.MaxInt64
 			return response, nil
 		}
-		if response.StatusCode == http.StatusContinue && to.offers(x) && !c.started {
+		if response.StatusCode == http.StatusContinue && to.offers(x) && !c.bodyStarted {
 			if err := c.writeBody(x); err != nil {
 				return nil, err
 			}
 		}
 	}
-	return nil, fault.New(fault.Worker, "answer with a final status", "more than %d informational answers", maxInformational)
+	return nil, fault.New(fault.Worker, "answer with a final status", "more than %d informational responses", maxInformational)
 }
 
-// sendDirect makes one try on a pooled connection, false if none is free.
+// sendDirect makes one attempt on a pooled connection. The last result is false if all
+// connections are in use.
 func sendDirect(x *exchange, to *hop, check func(*http.Response) *result) (*answer, *result, bool) {
-	conn, err := to.pool.take(x.context, to.address, to.silence)
+	conn, err := to.pool.take(x.context, to.address, to.ackTimeout)
 	if err == errPoolFull {
 		return nil, nil, false
 	}
@@ -64,142 +65,144 @@
 	return got, failure, true
 }
 
-// The states of a try's first sign. It is decided once whether the sign came in
-// time: it may come at the very moment at which the other side is given up, and a
-// body that is sent after that would run and be cut off.
+// States of the acknowledgement of an attempt. A single transition decides whether it came in
+// time: it may arrive at the moment at which the other side is abandoned, and a body that was
+// sent after that would run and be interrupted.
 const (
-	signAwaited = iota
-	signCame
-	signMissed
+	ackPending = iota
+	ackReceived
+	ackMissed
 )
 
-// errSilent ends a try whose other side gave its sign too late.
-var errSilent = fault.New(fault.Peer, "send it again if it may be repeated", "the next hop was silent")
+// errUnresponsive ends an attempt whose acknowledgement came too late.
+var errUnresponsive = fault.New(fault.Peer, "send it again if it may be repeated", "the next hop did not acknowledge the request in time")
 
-// signed notes a sign. It reports false when the other side was given up before.
-func (c *pooledConn) signed() bool {
-	return c.sign.CompareAndSwap(signAwaited, signCame) || c.sign.Load() == signCame
+// acknowledge records an acknowledgement. It returns false if the other side was abandoned
+// before.
+func (c *pooledConn) acknowledge() bool {
+	return c.ackState.CompareAndSwap(ackPending, ackReceived) || c.ackState.Load() == ackReceived
 }
 
-// isSilent reports whether the other side was given up for its silence.
-func (c *pooledConn) isSilent() bool { return c.sign.Load() == signMissed }
+// isUnresponsive reports whether the other side was abandoned because no acknowledgement came
+// in time.
+func (c *pooledConn) isUnresponsive() bool { return c.ackState.Load() == ackMissed }
 
-// awaitSign interrupts the connection unless the other side gives a sign in
-// time, or silence is to be endured by then.
-func (c *pooledConn) awaitSign(to *hop) *time.Timer {
-	c.sign.Store(signAwaited)
-	within := to.silence
-	if within <= 0 {
-		within = math.MaxInt64
-	}
-	return time.AfterFunc(within, func() {
-		if to.endures != nil && to.endures() {
+// startAckTimer interrupts the connection when no acknowledgement comes in time, unless
+// waitsForDeadline or onAckTimeout of the hop provides otherwise.
+func (c *pooledConn) startAckTimer(to *hop) *time.Timer {
+	c.ackState.Store(ackPending)
+	timeout := to.ackTimeout
+	if timeout <= 0 {
+		timeout = math.MaxInt64
+	}
+	return time.AfterFunc(timeout, func() {
+		if to.waitsForDeadline != nil && to.waitsForDeadline() {
 			return
 		}
-		if to.onSilence != nil {
-			to.onSilence()
+		if to.onAckTimeout != nil {
+			to.onAckTimeout()
 			return
 		}
-		if c.sign.CompareAndSwap(signAwaited, signMissed) {
+		if c.ackState.CompareAndSwap(ackPending, ackMissed) {
 			c.interrupt()
 		}
 	})
 }
 
-// writeBody sends a whole body: a short one now, a long one while the answer
-// is read, because the other side may answer before it has read it all.
+// writeBody sends a buffered body: a short one immediately, a long one while the response is
+// read, because the other side may respond before it has read the whole body.
 func (c *pooledConn) writeBody(x *exchange) error {
-	c.started = true
+	c.bodyStarted = true
 	if x.body.length <= directBody {
-		_, _ = c.writer.Write(x.body.whole) // Flush tells its error
+		_, _ = c.writer.Write(x.body.whole) // Flush returns its error
 		return c.writer.Flush()
 	}
 	if err := c.writer.Flush(); err != nil {
 		return err
 	}
 	sent := make(chan struct{})
-	c.body = sent
+	c.bodyWritten = sent
 	go func() {
 		defer close(sent)
-		_, _ = c.sealedConn.Write(x.body.whole) // the answer, or its lack, tells of an error
+		_, _ = c.sealedConn.Write(x.body.whole) // an error shows in the response or its absence
 	}()
 	return nil
 }
 
-// bodySent reports whether all of the body has gone out.
+// bodySent reports whether the whole body has been written.
 func (c *pooledConn) bodySent() bool {
-	if c.body == nil {
+	if c.bodyWritten == nil {
 		return true
 	}
 	select {
-	case <-c.body:
+	case <-c.bodyWritten:
 		return true
 	default:
 		return false
 	}
 }
 
-// mayBeEarly reports whether an answer may have come before the other side has
-// read the whole body: then the connection must not carry another request.
-func (c *pooledConn) mayBeEarly(response *http.Response) bool {
-	return c.body != nil && (response.StatusCode >= http.StatusMultipleChoices || !c.bodySent())
+// mayPrecedeBody reports whether a response may have arrived before the other side has read
+// the whole body. The connection must then not carry another request.
+func (c *pooledConn) mayPrecedeBody(response *http.Response) bool {
+	return c.bodyWritten != nil && (response.StatusCode >= http.StatusMultipleChoices || !c.bodySent())
 }
 
-// mostForeign is how many answers that belong to other requests are passed
-// over on one connection.
-const mostForeign = 2
+// maxForeignResponses is the number of responses to other requests that are skipped on one
+// connection.
+const maxForeignResponses = 2
 
-// tellBytes tells what a try has taken of the link, the body of an answer of known length
-// included; response is nil when there was none.
-func (c *pooledConn) tellBytes(to *hop, failure *result, response *http.Response, base int64) {
+// reportBytes reports the bytes that an attempt used on the link, including the body of a
+// response of known length; response is nil if there was none.
+func (c *pooledConn) reportBytes(to *hop, failure *result, response *http.Response, base int64) {
 	if to.onBytes == nil {
 		return
 	}
-	received := c.received.Load() - c.heard
+	received := c.received.Load() - c.receivedBefore
 	if response != nil {
 		received += max(0, response.ContentLength-int64(c.reader.Buffered()))
 	}
-	to.onBytes(failure, c.count()-base, received)
+	to.onBytes(failure, c.bytesWritten()-base, received)
 }
 
-// exchange makes one try. It returns the answer, or how the try failed.
+// exchange makes one attempt. It returns the response, or how the attempt failed.
 func (c *pooledConn) exchange(x *exchange, to *hop, check func(*http.Response) *result) (*answer, *result) {
-	watch := sending{conn: c.sealedConn, base: c.count()}
+	watch := writeTracker{conn: c.sealedConn, writtenBefore: c.bytesWritten()}
 	c.begin(x.context)
 	response, err := c.roundTrip(x, to)
-	for range mostForeign {
-		if err != nil || !to.foreignTo() || !to.protocol.belongsElsewhere(x, response) {
+	for range maxForeignResponses {
+		if err != nil || !to.foreignTo() || !to.protocol.belongsToOtherRequest(x, response) {
 			break
 		}
-		response, err = c.next(x, response)
+		response, err = c.readNextResponse(x, response)
 	}
 	if err != nil {
 		if x.context.Err() == nil {
-			c.noteReset()
+			c.recordReset()
 		}
-		failure := c.tripFailure(x, to, watch.left())
-		c.noteSilence()
-		c.tellBytes(to, &failure, nil, watch.base)
+		failure := c.attemptFailure(x, to, watch.mayHaveSent())
+		c.closeUnresponsiveIdle()
+		c.reportBytes(to, &failure, nil, watch.writtenBefore)
 		c.abandon()
 		return nil, &failure
 	}
-	if c.mayBeEarly(response) {
+	if c.mayPrecedeBody(response) {
 		response.Close = true
 	}
-	c.noteIdleLife(response)
+	c.recordPeerIdleTimeout(response)
 	failure := check(response)
-	c.tellBytes(to, failure, response, watch.base)
+	c.reportBytes(to, failure, response, watch.writtenBefore)
 	switch {
 	case failure != nil && failure.cause == causeForeign:
 		c.abandon()
 		return nil, failure
 	case failure != nil:
-		c.finish(c.skip(response) && !response.Close)
+		c.finish(c.discardBody(response) && !response.Close)
 		return nil, failure
 	case response.Body == http.NoBody:
 		c.finish(!response.Close)
 	default:
-		response.Body = &ownedBody{ReadCloser: response.Body, conn: c, reusable: !response.Close}
+		response.Body = &connBody{ReadCloser: response.Body, conn: c, reusable: !response.Close}
 	}
 	return receive(x, response)
 }
--- a/internal/traffic/split_test.go
+++ b/internal/traffic/split_test.go
@@ -9,9 +9,9 @@
 	"sliphead/internal/snapshot"
 )
 
-// A request of a service that has no room is refused: at another service of its route it
-// would change the shares that the operator has set.
-func TestSplitIsNotMovedForLackOfRoom(t *testing.T) {
+// A request for a service without capacity is refused. Sent to another service of its route,
+// it would change the shares that the operator has set.
+func TestTrafficSplitIsKeptWhenServiceIsFull(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	m.publish(func(route *snapshot.Route) {
 		route.Targets = []snapshot.Target{{Service: "shop", Weight: 1, Endpoints: route.Targets[0].Endpoints}, {Service: "away", Weight: 1, Endpoints: []snapshot.Endpoint{}}}
--- a/internal/traffic/time_test.go
+++ b/internal/traffic/time_test.go
@@ -19,20 +19,20 @@
 	"sliphead/internal/snapshot"
 )
 
-// pipes is a network in memory, so that time can be virtual.
+// pipes is an in-memory network for tests in virtual time.
 type pipes map[string]chan net.Conn
 
 func (p pipes) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
-	case p[address] <- far: // an address at which nobody listens takes for ever
+	case p[address] <- far: // without a listener the dial blocks until ctx ends
 		return near, nil
 	case <-ctx.Done():
 		return nil, fault.Wrap(ctx.Err(), fault.Peer, "none", "dial %s", address)
 	}
 }
 
-// pipeListener accepts at one address.
+// pipeListener accepts connections at one address.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -103,7 +103,7 @@
 	return response, string(text)
 }
 
-// occupy sends a request whose answer does not matter.
+// occupy sends a request and ignores its response.
 func (m *pipeMesh) occupy(path string) {
 	go func() {
 		if response, err := m.client.Get("http://out:1" + path); err == nil {
@@ -113,21 +113,21 @@
 	synctest.Wait()
 }
 
-// sleeper runs as long as the query says and answers with the time left that
-// it was told.
+// sleeper runs for the duration in the query and responds with the remaining time that it
+// received.
 func sleeper(w http.ResponseWriter, r *http.Request) {
-	length, _ := time.ParseDuration(r.URL.Query().Get("run"))
+	duration, _ := time.ParseDuration(r.URL.Query().Get("run"))
 	select {
-	case <-time.After(length):
+	case <-time.After(duration):
 	case <-r.Context().Done():
 		return
 	}
 	_, _ = io.WriteString(w, r.Header.Get(outcome.Deadline))
 }
 
-// A request that waits for a slot is refused before its deadline, so that the
-// caller is told that it did not run.
-func TestQueuedRequestIsRefusedInTime(t *testing.T) {
+// A request that waits for a slot is refused before its deadline, so that the caller receives
+// not-run.
+func TestQueuedRequestIsRefusedBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newPipeMesh(t, sleeper)
 		m.occupy("/lookup?run=10s")
@@ -142,26 +142,25 @@
 	})
 }
 
-// A request that can't be served by its deadline is refused at once, and told
-// when to come back.
-func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
+// A request that cannot be served by its deadline is refused immediately, with Retry-After.
+func TestUnservableRequestIsRefusedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newPipeMesh(t, sleeper)
-		m.get(t, "/lookup?run=4s") // now a run is known to take four seconds
+		m.get(t, "/lookup?run=4s") // the node has now measured a run of four seconds
 		m.occupy("/lookup?run=4s")
 		m.occupy("/lookup?run=4s")
 		began := time.Now()
 		response, _ := m.get(t, "/quick-order")
 		must.Zero(t, time.Since(began))
 		must.Eq(t, "not-run", response.Header.Get(outcome.Header))
-		must.Eq(t, "6", response.Header.Get("Retry-After")) // half of the run, and the one queued
+		must.Eq(t, "6", response.Header.Get("Retry-After")) // half of the running request, and the queued one
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 	})
 }
 
-// A run past its deadline ends in a final answer at the deadline.
-func TestLateAnswerIsUnknownAtTheDeadline(t *testing.T) {
+// A run that exceeds its deadline ends in a final response at the deadline.
+func TestOverrunningRequestEndsUnknownAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newPipeMesh(t, sleeper)
 		began := time.Now()
@@ -174,20 +173,20 @@
 	})
 }
 
-// The worker is told the time that is left, not the route's.
-func TestDeadlineShrinks(t *testing.T) {
+// The worker receives the time that is left, not the route's deadline.
+func TestWorkerReceivesRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newPipeMesh(t, sleeper)
 		m.occupy("/lookup?run=20s")
 		_, text := m.get(t, "/lookup")
 		left, err := strconv.Atoi(text)
 		must.NoError(t, err)
-		must.Eq(t, 40_000, left) // of the route's 60 s, 20 s went by in the queue
+		must.Eq(t, 40_000, left) // 20 of the route's 60 s passed in the queue
 	})
 }
 
-// A node that takes no connection costs the time to connect, not the deadline.
-func TestSilentNodeIsPassedOver(t *testing.T) {
+// A node that accepts no connection costs the connect timeout, not the deadline.
+func TestUnreachableNodeCostsConnectTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newPipeMesh(t, sleeper)
 		far := snapshot.Endpoint{Worker: "w1", Zone: "z2", Address: "in:1", Slots: 1, Connections: 130}
@@ -200,8 +199,8 @@
 	})
 }
 
-// A caller that does not read its answer holds no slot for ever.
-func TestCallerThatDoesNotRead(t *testing.T) {
+// A caller that does not read its response must not hold a slot forever.
+func TestStalledCallerReleasesSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newPipeMesh(t, func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, strings.Repeat("x", 1<<20))
@@ -218,8 +217,8 @@
 	})
 }
 
-// A caller that stops sending its body is answered after BodyTimeout.
-func TestStalledBodyEnds(t *testing.T) {
+// A caller that stops sending its body gets a response after BodyTimeout.
+func TestStalledBodyTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newPipeMesh(t, echoWorker)
 		for path, length := range map[string]string{"/order": "100", "/upload": "100000"} {
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,11 +1,10 @@
-// Package traffic carries requests: from a caller through the outbound handler
-// of the caller's node and the inbound handler of the worker's node to the
-// worker, and the answer back. Each handler is a pipe of filters, one a file:
-// classify, deadline, admit, claim, choose, forward, outcome. Traffic only
-// reads the published snapshot; it writes no control state.
+// Package traffic carries requests from a caller through the outbound handler of the caller's
+// node and the inbound handler of the worker's node to the worker, and the response back. Each
+// handler is a pipeline of filters, one per file: classify, deadline, admit, claim, choose,
+// forward, outcome. The package only reads the published snapshot; it writes no control state.
 //
-// Each request ends in exactly one outcome (package outcome). Trailers and
-// protocol upgrades are not passed on.
+// Each request ends in exactly one outcome (package outcome). Trailers and protocol upgrades
+// are not forwarded.
 package traffic
 
 import (
@@ -24,91 +23,92 @@
 	"sliphead/internal/snapshot"
 )
 
-// Claimer lets a request with an idempotency key run at most once.
+// Claimer ensures that a request with an idempotency key runs at most once.
 type Claimer interface {
-	// Claim asks for the key; body is a digest of the request.
+	// Claim requests the key; body is a digest of the request.
 	Claim(ctx context.Context, service, key, body string) claim.Decision
-	// Finish tells that the holder's run has ended, with its answer if kept.
+	// Finish reports that the run of the holder has ended, with its response if it is stored
+	// for replay.
 	Finish(service, key, holder string, answer []byte)
-	// Release tells that the holder's request was not run after all.
+	// Release reports that the holder's request was not run.
 	Release(service, key, holder string)
 }
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Config is what a handler needs. Holder is required.
+// Config holds the settings and collaborators of a handler. Holder is required.
 type Config struct {
 	Node, Zone, Region string
 	Holder             *snapshot.Holder
-	// Claims guards idempotency keys. While it is nil, the inbound handler
-	// refuses requests that may not be repeated and carry a key.
+	// Claims guards idempotency keys. While it is nil, the inbound handler refuses requests
+	// that carry a key and must not run twice.
 	Claims        Claimer
 	Worker        string // name of the local worker
 	WorkerAddress string // host:port of the local worker
-	// WorkerEchoes tells that the worker answers with the Sliphead-Request-Id
-	// or Sliphead-Attempt that it was sent. Then an answer without is refused:
-	// only so can an answer that comes late on a connection be told apart.
+	// WorkerEchoes states that the worker's responses carry the Sliphead-Request-Id or
+	// Sliphead-Attempt that it received. A response without them is then refused, because only
+	// they identify a late response to an earlier request on the same connection.
 	WorkerEchoes bool
-	Edge         bool // whether callers are outside the mesh: their internal headers are stripped
-	// Protocol names the headers of callers and workers, the zero one for
-	// sliphead's own. With another one, views come from a catalog.
+	Edge         bool // whether callers are outside the mesh: their internal headers are removed
+	// Protocol names the headers of callers and workers; the zero value stands for sliphead's
+	// own. With any other protocol, views come from a catalog.
 	Protocol Protocol
-	// Service is the service of the local worker, told to the workers that its
-	// calls and its machine's callers reach.
+	// Service is the service of the local worker. It is sent as the calling service to the
+	// workers that the local worker and the callers on its machine reach.
 	Service string
-	// Seen is told the IP address of each node that a request came from.
+	// Seen receives the IP address of each node that sent a request.
 	Seen       func(address string)
 	Limits     Limits
-	Registerer prometheus.Registerer // nil: metrics are kept but not registered
+	Registerer prometheus.Registerer // nil: metrics are collected but not registered
 	Logger     log.Interface         // nil: log.Log
 	Dial       DialFunc              // nil: net.Dialer
 	Random     rand.Source           // nil: seeded from the clock
-	// Observe is told what requests met at the local worker: true for a whole
-	// answer, false for none that was the worker's doing. It must not block.
+	// Observe receives the result of each request at the local worker: true for a complete
+	// response, false for a failure caused by the worker. It must not block.
 	Observe func(succeeded bool)
-	// Quarantine knows the requests that end workers; nil: none is kept from them.
+	// Quarantine identifies requests that crash workers; nil: no request is quarantined.
 	Quarantine Quarantine
-	// KnowledgeAge tells how long ago the configuration in force was last known to be the
-	// newest; nil: it always is. It must not wait.
+	// KnowledgeAge returns the time since the configuration in force was last confirmed to be
+	// the newest; nil: it is always current. It must not block.
 	KnowledgeAge func() time.Duration
-	// Quotas holds tenants to their limits; nil: they have none.
+	// Quotas enforces the limits of tenants; nil: tenants have no limits.
 	Quotas Quotas
-	// Calls joins the inbound and the outbound handler of one node; see Calls.
+	// Calls connects the inbound and the outbound handler of one node; see Calls.
 	Calls *Calls
 }
 
-// Limits bound what a handler holds and waits for. Zero fields take defaults.
+// Limits bounds a handler's resources and waiting times. Zero fields take defaults.
 type Limits struct {
-	SmallBody      int64         // request bodies of known length up to this many bytes are read whole and may be sent again
-	SmallAnswer    int64         // answers of known length up to this many bytes are read whole before they are passed on
-	KeptAnswer     int64         // answers up to this many bytes are kept for replay under an idempotency key
+	SmallBody      int64         // request bodies of known length up to this many bytes are buffered and may be sent again
+	SmallAnswer    int64         // responses of known length up to this many bytes are buffered before they are forwarded
+	KeptAnswer     int64         // responses up to this many bytes are stored for replay under an idempotency key
 	MaxDepth       int           // levels of the call tree
-	Slots          int           // requests that the local worker runs at once, unless declared
-	Connections    int           // connections to the local worker, unless declared
-	QueueLength    int           // requests that wait for a slot at most
-	KeysInForce    time.Duration // within which a change of the keys is in force: knowledge that is older does not tell which are unknown; 0: any does
-	KeysFailClosed time.Duration // age of the knowledge beyond which no request that needs a key is let in; 0: none
-	RetryRatio     float64       // retries per request of this node, over time
-	RetryBurst     float64       // retries that may be saved up
+	Slots          int           // requests that the local worker runs at once, if it declares none
+	Connections    int           // connections to the local worker, if it declares none
+	QueueLength    int           // maximum number of requests that wait for a slot
+	KeysInForce    time.Duration // time within which a change of the API keys takes effect: with older data a node cannot tell that a key is unknown; 0: it always can
+	KeysFailClosed time.Duration // age of the key data beyond which requests that need a key are rejected; 0: never
+	RetryRatio     float64       // retries per request of this node, on average
+	RetryBurst     float64       // retries that may accumulate
 	RetryBudget    int           // retries of one call tree, in thousandths
-	RetrySlack     int           // with a catalog: arrivals beyond the first that the whole mesh may add within a window, beside RetryRatio
-	ColdOverage    float64       // times the declared rate that a cold worker may be sent; 0: once
-	ColdSlack      float64       // requests beside, within any second
-	IdlePerNode    int           // idle connections kept to each node
+	RetrySlack     int           // with a catalog: arrivals beyond the first that the whole mesh may add per window, in addition to RetryRatio
+	ColdOverage    float64       // multiple of the declared rate that a cold worker may be sent; 0: once
+	ColdSlack      float64       // requests that a cold worker may be sent beyond that within any second
+	IdlePerNode    int           // idle connections retained per node
 	ConnectTimeout time.Duration // to open a connection
 	HeaderTimeout  time.Duration // to read a request's header
 	IdleTimeout    time.Duration // between requests on a connection
 	BodyTimeout    time.Duration // between two reads of a request body
 	MaxHeaderBytes int
-	RegionBytes    float64 // price of a byte that leaves the region, in parts of one that leaves the zone; 0: once
-	LinkMbps       float64 // what the machine's link carries, in megabits a second; 0: not known, and bodies are not paced
+	RegionBytes    float64 // cost of a byte that leaves the region, relative to one that leaves the zone; 0: 1
+	LinkMbps       float64 // capacity of the machine's link in megabits per second; 0: unknown, and bodies are not paced
 }
 
 // Default limits.
 const (
 	defaultSmall          = 64 << 10
-	defaultKeptAnswer     = 16 << 10
+	defaultStoredResponse = 16 << 10
 	defaultMaxDepth       = 32
 	defaultSlots          = 6
 	defaultConnections    = 130
@@ -129,7 +129,7 @@
 func (l Limits) withDefaults() Limits {
 	defaults.Set(&l.SmallBody, defaultSmall)
 	defaults.Set(&l.SmallAnswer, defaultSmall)
-	defaults.Set(&l.KeptAnswer, defaultKeptAnswer)
+	defaults.Set(&l.KeptAnswer, defaultStoredResponse)
 	defaults.Set(&l.MaxDepth, defaultMaxDepth)
 	defaults.Set(&l.Slots, defaultSlots)
 	defaults.Set(&l.Connections, defaultConnections)
@@ -167,7 +167,7 @@
 	return c
 }
 
-// lockedSource lets several goroutines draw from one source.
+// lockedSource lets several goroutines use one random source.
 type lockedSource struct {
 	mutex  sync.Mutex
 	source rand.Source
