--- a/internal/traffic/admit.go
+++ b/internal/traffic/admit.go
@@ -14,21 +14,21 @@
 
 type ticket = admission.Ticket[*exchange]
 
-// admitter lets request goroutines share the queue of the local worker.
+// admitter is the admission queue of the local worker. It is safe for concurrent use.
 type admitter struct {
-	mutex    sync.Mutex
-	queue    *admission.Queue[*exchange]
-	link     admission.Link         // of this machine
-	holders  map[*exchange]struct{} // requests that hold a slot
-	service  string                 // of the local worker
-	callers  *callers
-	cold     coldstart.Guard // of the local worker
-	recorded snapshot.Local  // what the catalog said of it last
-	warming  int             // requests that wait for it to be warm
-	rejects  admission.Rejects
-	report   workerReport     // of the local worker, on itself
-	closed   closing.Bookings // while it names a limit
-	turn     *time.Timer      // at which the queue is filled although no run ends; nil: there was none yet
+	mutex       sync.Mutex
+	queue       *admission.Queue[*exchange]
+	link        admission.Link         // network link of this machine
+	holders     map[*exchange]struct{} // requests that occupy a slot
+	service     string                 // of the local worker
+	callers     *callers
+	cold        coldstart.Guard // of the local worker
+	recorded    snapshot.Local  // the latest catalog record of the local worker
+	warmWaits   int             // requests that wait until the worker is warm
+	rejects     admission.Rejects
+	report      workerReport     // what the local worker has reported about itself
+	closedUntil closing.Bookings // by urgency: until when callers' nodes are asked to send nothing, while the worker reports a limit
+	fillTimer   *time.Timer      // fills the queue at a set time, without a request completing; nil: not used yet
 }
 
 func newAdmitter(service string, limits Limits) *admitter {
@@ -40,14 +40,15 @@
 	})}
 }
 
-// admit holds a slot while the request runs.
+// admit queues the request for a slot of the worker and holds the slot until the request
+// completes.
 func (a *admitter) admit(next stage) stage {
 	return func(x *exchange) result {
 		mine, refused := a.arrive(x)
 		if refused != nil {
 			return *refused
 		}
-		x.giveSign()
+		x.acknowledge()
 		if x.granted != nil {
 			a.wait(x, mine)
 		}
@@ -66,7 +67,7 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	now := time.Now()
-	a.serves(x.instance, now)
+	a.resetOnNewInstance(x.instance, now)
 	a.adoptLimit(x, now)
 	if refused := a.noWait(x); refused != nil {
 		return nil, refused
@@ -75,13 +76,13 @@
 	if mine.Verdict == admission.Queued {
 		x.granted = make(chan struct{})
 	}
-	a.hold(mine)
-	a.tell(decided)
-	a.awaitTurn(now)
+	a.trackHolder(mine)
+	a.notify(decided)
+	a.scheduleFill(now)
 	return mine, nil
 }
 
-// refusal is the answer to a request whose ticket was refused.
+// refusal returns the result of a request whose ticket was refused.
 func (a *admitter) refusal(x *exchange, mine *ticket) result {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -92,16 +93,16 @@
 	return refuse(causeQueue, mine.RetryAfter, "send it again later, the worker is busy")
 }
 
-// enter puts the request to the queue. With a catalog it is refused when it
-// can't be answered within its latency objective: one that comes back later is
-// then worth more than a late answer now. But one that outranks others waits to
-// its deadline: the next slots are its own, and the least urgent give way first. One
-// whose caller was refused before, and won't come back again, may be answered late.
+// enter adds the request to the queue. With a catalog, a request that cannot complete
+// within its latency objective is refused, since a retry later is more useful than a late
+// response. Two kinds of request may wait until their deadline instead: one that outranks
+// others, because it gets the next slots and the least urgent requests are shed first, and
+// one whose caller was refused before and will not retry again.
 func (a *admitter) enter(x *exchange, now time.Time) (*ticket, []*ticket) {
 	if x.instance == "" {
 		return a.queue.Arrive(admission.ClassOf(x.route.Priority), x.deadline, now, x)
 	}
-	a.callers.note(x.route.Name, x.caller == a.service)
+	a.callers.record(x.route.Name, x.caller == a.service)
 	x.internal = a.callers.internal(x.route.Name)
 	rank := a.classOf(x)
 	arrival := admission.Arrival[*exchange]{Class: rank, Kind: x.route.Name, Deadline: x.deadline, Waiter: x}
@@ -115,14 +116,14 @@
 		arrival.Deadline = earlier(x.deadline, x.started.Add(x.class.objective))
 	}
 	if x.class.unlikely {
-		arrival.Deadline = now.Add(-1) // to the late line: runs that are likelier to succeed go first
+		arrival.Deadline = now.Add(-1) // to the queue of late requests, so that requests more likely to succeed run first
 	}
 	return a.queue.Take(arrival, now)
 }
 
-// classOf is the class of a request: the priority of its tenant comes before that of its
-// route. Calls of runs go first: a run that waits for
-// one holds a slot elsewhere.
+// classOf returns the admission class of a request. The priority of its tenant is compared
+// before that of its route. Calls made by workers while they run a request come first,
+// because the request that waits for them occupies a slot at another worker.
 func (a *admitter) classOf(x *exchange) admission.Class {
 	if a.callers.internal(x.route.Name) {
 		return admission.Internal
@@ -137,7 +138,8 @@
 	return b
 }
 
-// wait returns when the ticket is decided.
+// wait blocks until the ticket is granted or refused, or until it is cancelled because its
+// wait or the request has expired.
 func (a *admitter) wait(x *exchange, mine *ticket) {
 	timer := time.NewTimer(time.Until(mine.GiveUp))
 	defer timer.Stop()
@@ -157,15 +159,15 @@
 	defer a.mutex.Unlock()
 	delete(a.holders, mine.Waiter)
 	now := time.Now()
-	a.tell(a.queue.Done(mine, now))
-	a.awaitTurn(now)
+	a.notify(a.queue.Done(mine, now))
+	a.scheduleFill(now)
 }
 
-// clear refuses all that wait.
+// clear refuses all queued requests.
 func (a *admitter) clear() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.tell(a.queue.Clear(time.Now()))
+	a.notify(a.queue.Clear(time.Now()))
 }
 
 func (a *admitter) resize(slots int) {
@@ -175,21 +177,21 @@
 		return
 	}
 	now := time.Now()
-	a.tell(a.queue.Resize(slots, now))
-	a.awaitTurn(now)
+	a.notify(a.queue.Resize(slots, now))
+	a.scheduleFill(now)
 }
 
-// hold notes a request that was granted.
-func (a *admitter) hold(mine *ticket) {
+// trackHolder adds a request to the slot holders if its ticket was granted.
+func (a *admitter) trackHolder(mine *ticket) {
 	if mine.Verdict == admission.Granted {
 		a.holders[mine.Waiter] = struct{}{}
 	}
 }
 
-// tell wakes the goroutines whose tickets were decided.
-func (a *admitter) tell(decided []*ticket) {
+// notify wakes the goroutines whose tickets were granted or refused.
+func (a *admitter) notify(decided []*ticket) {
 	for _, other := range decided {
-		a.hold(other)
+		a.trackHolder(other)
 		close(other.Waiter.granted)
 	}
 }
@@ -206,8 +208,8 @@
 	return a.queue.Waiting()
 }
 
-// load is what callers' nodes are told: how busy the worker is and, with a catalog,
-// what another request like this one has to expect.
+// load returns the load reported to callers' nodes: the worker's utilization and, with a
+// catalog, the wait and run time forecast for another request like this one.
 func (a *admitter) load(x *exchange) balance.Load {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -219,21 +221,22 @@
 	rank := a.classOf(x)
 	load.Wait, load.Run = a.queue.Forecast(rank, x.route.Name, now)
 	load.Link = a.linkWait(x, now)
-	load.Closed = max(a.cold.Closed(x.class.urgency(), now), a.closed.Left(x.class.urgency(), now))
+	load.Closed = max(a.cold.Closed(x.class.urgency(), now), a.closedUntil.Left(x.class.urgency(), now))
 	load.Rejects = a.rejects.Share(now)
 	return load
 }
 
-// giveSign tells the caller's node that the request has come: it is going to
-// wait, or to run for a while. A body that is asked for is sign enough.
-func (x *exchange) giveSign() {
+// acknowledge sends the caller's node an acknowledgement that the request has arrived,
+// because it is about to wait or to run. It is left out where the body is still to be
+// requested, since requesting it acknowledges the request as well, unless the request is queued.
+func (x *exchange) acknowledge() {
 	if x.granted != nil || !x.bodyAwaited {
-		x.sign()
+		x.sendAck()
 	}
 }
 
-// sign is the sign itself.
-func (x *exchange) sign() {
+// sendAck sends an acknowledgement (102 Processing) if the caller's node expects one.
+func (x *exchange) sendAck() {
 	if x.signal {
 		x.writer.WriteHeader(http.StatusProcessing)
 	}
--- a/internal/traffic/once_test.go
+++ b/internal/traffic/at_most_once_test.go
@@ -16,53 +16,53 @@
 	"sliphead/internal/outcome"
 )
 
-// memoryClaims is a claimer that forgets nothing.
+// memoryClaims is a claimer that stores all claims in memory.
 type memoryClaims struct {
-	mutex sync.Mutex
-	held  map[string]*heldClaim
+	mutex  sync.Mutex
+	claims map[string]*storedClaim
 }
 
-type heldClaim struct {
+type storedClaim struct {
 	body     string
 	finished bool
 	answer   []byte
 }
 
-func newMemoryClaims() *memoryClaims { return &memoryClaims{held: map[string]*heldClaim{}} }
+func newMemoryClaims() *memoryClaims { return &memoryClaims{claims: map[string]*storedClaim{}} }
 
 func (m *memoryClaims) Claim(_ context.Context, service, key, body string) claim.Decision {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held := m.held[service+key]
+	stored := m.claims[service+key]
 	switch {
-	case held == nil:
-		m.held[service+key] = &heldClaim{body: body}
+	case stored == nil:
+		m.claims[service+key] = &storedClaim{body: body}
 		return claim.Decision{Verdict: claim.VerdictRun, Holder: "holder"}
-	case held.body != body:
+	case stored.body != body:
 		return claim.Decision{Verdict: claim.VerdictMismatch}
-	case !held.finished:
+	case !stored.finished:
 		return claim.Decision{Verdict: claim.VerdictBusy}
-	case held.answer == nil:
+	case stored.answer == nil:
 		return claim.Decision{Verdict: claim.VerdictRan}
 	default:
-		return claim.Decision{Verdict: claim.VerdictAnswered, Answer: held.answer}
+		return claim.Decision{Verdict: claim.VerdictAnswered, Answer: stored.answer}
 	}
 }
 
 func (m *memoryClaims) Finish(service, key, _ string, answer []byte) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.held[service+key].finished = true
-	m.held[service+key].answer = answer
+	m.claims[service+key].finished = true
+	m.claims[service+key].answer = answer
 }
 
 func (m *memoryClaims) Release(service, key, _ string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	delete(m.held, service+key)
+	delete(m.claims, service+key)
 }
 
-// newFaultyMesh is a mesh before a worker that misbehaves as it is asked to.
+// newFaultyMesh starts a mesh with a worker that produces the failures requested from it.
 func newFaultyMesh(t testing.TB, change func(*Config)) (*mesh, *rawWorker) {
 	worker := newRawWorker(t)
 	m := newMesh(t, nil, func(config *Config) {
@@ -75,8 +75,8 @@
 	return m, worker
 }
 
-// checkEnding holds what must hold of any request, whatever the worker did.
-func checkEnding(t *testing.T, name string, repeatable bool, runs int, response *http.Response, text string, err error) {
+// checkOutcome checks what must hold for any request, whatever the worker did.
+func checkOutcome(t *testing.T, name string, repeatable bool, runs int, response *http.Response, text string, err error) {
 	t.Helper()
 	if !repeatable {
 		must.LessEq(t, 1, runs, must.Sprintf("%s ran %d times", name, runs))
@@ -86,10 +86,10 @@
 	}
 	switch outcome.Outcome(response.Header.Get(outcome.Header)) {
 	case outcome.Answered:
-		must.Eq(t, own(name), text, must.Sprint(name))
+		must.Eq(t, ownBody(name), text, must.Sprint(name))
 		must.Positive(t, runs, must.Sprint(name))
 	case outcome.NotRun:
-		must.Zero(t, runs, must.Sprintf("%s was told as not run", name))
+		must.Zero(t, runs, must.Sprintf("%s ran but was reported as not-run", name))
 		must.NotEq(t, "", response.Header.Get("Retry-After"))
 		must.NotEq(t, "", response.Header.Get(outcome.Remedy))
 	case outcome.Unknown:
@@ -100,17 +100,17 @@
 	}
 }
 
-// Whatever the worker does, an order runs at most once, not run means not in
-// the worker's journal, and an answer is the request's own and whole.
-func TestFaultyWorker(t *testing.T) {
+// Whatever the worker does, an order must run at most once, a request reported as not-run must not
+// be in the worker's journal, and a response must be complete and belong to the request.
+func TestAtMostOnceWithFaultyWorker(t *testing.T) {
 	for name, connections := range map[string]int{"pool": 130, "transport": 1} {
-		t.Run(name, func(t *testing.T) { testFaultyWorker(t, connections) })
+		t.Run(name, func(t *testing.T) { testAtMostOnceWithFaultyWorker(t, connections) })
 	}
 }
 
-// testFaultyWorker uses one connection to the worker to have all requests go by
-// the transport.
-func testFaultyWorker(t *testing.T, connections int) {
+// testAtMostOnceWithFaultyWorker runs the cases with a number of worker connections; with one, all
+// requests use the transport instead of the pool.
+func testAtMostOnceWithFaultyWorker(t *testing.T, connections int) {
 	m, worker := newFaultyMesh(t, nil)
 	m.setCapacity(6, connections)
 	behaviours := []string{"ok", "close", "close-shed", "reset", "half", "half-long", "half-chunked", "unframed", "foreign", "lie", "shed", "hang"}
@@ -118,11 +118,11 @@
 		for _, method := range []string{"GET", "POST", "POST-empty", "POST-key", "POST-long"} {
 			for _, behaviour := range behaviours {
 				t.Run(route+"/"+method+"/"+behaviour, func(t *testing.T) {
-					// The connections are in use already: only on such does net/http send again by itself.
+					// Reuse connections, since net/http only retries by itself on reused ones.
 					warm := fmt.Sprintf("warm-%s-%s-%s", route, method, behaviour)
 					_, text, err := m.call(t, "GET", "/lookup?n="+warm, "")
 					must.NoError(t, err)
-					must.Eq(t, own(warm), text)
+					must.Eq(t, ownBody(warm), text)
 
 					path := route
 					if behaviour == "hang" {
@@ -135,50 +135,50 @@
 						headers = []string{outcome.IdempotencyKey, name}
 					}
 					body := "order of cards"
-					if method == "POST-long" { // by the transport on both hops
+					if method == "POST-long" { // uses the transport on both hops
 						body = strings.Repeat("cards", directBody)
 					}
 					if method == "GET" || method == "POST-empty" {
 						body = ""
 					}
 					response, text, err := m.call(t, verb, "/"+path+"?n="+name+"&do="+behaviour, body, headers...)
-					// The refusal that a worker copies from a service that it called says
-					// nothing about the worker itself: it is an answer.
-					told := response != nil && response.Header.Get(outcome.Header) == "answered"
-					must.True(t, told || behaviour != "ok" && behaviour != "lie")
-					checkEnding(t, name, route == "lookup", worker.runs(name), response, text, err)
+					// A refusal that a worker copies from a service that it called is an
+					// ordinary response of the worker.
+					answered := response != nil && response.Header.Get(outcome.Header) == "answered"
+					must.True(t, answered || behaviour != "ok" && behaviour != "lie")
+					checkOutcome(t, name, route == "lookup", worker.runs(name), response, text, err)
 				})
 			}
 		}
 	}
 }
 
-// An answer that had come on the connection before the request was sent is
-// left over from another.
-func TestAnswerFromBeforeTheRequestIsForeign(t *testing.T) {
+// A response that arrived on the connection before the request was sent belongs to another
+// request.
+func TestResponseBeforeRequestIsForeign(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
 	conn := &sealedConn{Conn: near}
-	watch := newSending()
-	watch.gotConn(httptrace.GotConnInfo{Conn: conn})
-	must.True(t, watch.stale())
+	sending := newSending()
+	sending.gotConn(httptrace.GotConnInfo{Conn: conn})
+	must.True(t, sending.stale())
 	go func() { _, _ = far.Write([]byte("H")) }()
 	_, err := conn.Read(make([]byte, 1))
 	must.NoError(t, err)
-	must.False(t, watch.stale())
+	must.False(t, sending.stale())
 }
 
-func TestAnswerWithoutEchoIsForeignWhereWorkersEcho(t *testing.T) {
+func TestResponseWithoutEchoIsForeign(t *testing.T) {
 	m, _ := newFaultyMesh(t, func(config *Config) { config.WorkerEchoes = true })
 	response, text, err := m.call(t, "POST", "/order?n=a", "")
 	must.NoError(t, err)
 	must.Eq(t, "unknown", response.Header.Get(outcome.Header))
-	must.StrNotContains(t, text, own("a"))
+	must.StrNotContains(t, text, ownBody("a"))
 }
 
-// order sends an order under a key.
-func (m *mesh) order(t *testing.T, path, body string) (*http.Response, string) {
+// sendKeyedOrder sends an order with an idempotency key.
+func (m *mesh) sendKeyedOrder(t *testing.T, path, body string) (*http.Response, string) {
 	response, text, err := m.call(t, "POST", path, body, outcome.IdempotencyKey, "order-17")
 	must.NoError(t, err)
 	return response, text
@@ -186,23 +186,23 @@
 
 func TestKeyRunsOnce(t *testing.T) {
 	m, worker := newFaultyMesh(t, nil)
-	response, _ := m.order(t, "/order?n=a&do=shed", "cards")
+	response, _ := m.sendKeyedOrder(t, "/order?n=a&do=shed", "cards")
 	must.Eq(t, "not-run", response.Header.Get(outcome.Header)) // the key is released
 	for _, replayed := range []string{"", "1"} {
-		response, text := m.order(t, "/order?n=a", "cards")
-		must.Eq(t, own("a"), text)
+		response, text := m.sendKeyedOrder(t, "/order?n=a", "cards")
+		must.Eq(t, ownBody("a"), text)
 		must.Eq(t, "answered", response.Header.Get(outcome.Header))
 		must.Eq(t, replayed, response.Header.Get(replayedHeader))
 	}
 	must.Eq(t, 1, worker.runs("a"))
-	response, _ = m.order(t, "/order?n=a", "other cards")
+	response, _ = m.sendKeyedOrder(t, "/order?n=a", "other cards")
 	must.Eq(t, http.StatusUnprocessableEntity, response.StatusCode)
 }
 
-func TestKeyOfABrokenRunIsNotRunAgain(t *testing.T) {
+func TestKeyOfBrokenRunIsNotRetried(t *testing.T) {
 	m, worker := newFaultyMesh(t, nil)
 	for range 2 {
-		response, _ := m.order(t, "/order?n=a&do=close", "")
+		response, _ := m.sendKeyedOrder(t, "/order?n=a&do=close", "")
 		must.Eq(t, "unknown", response.Header.Get(outcome.Header))
 	}
 	must.Eq(t, 1, worker.runs("a"))
@@ -210,15 +210,15 @@
 
 func TestKeyWithoutClaimsIsRefused(t *testing.T) {
 	m, worker := newFaultyMesh(t, func(config *Config) { config.Claims = nil })
-	response, _ := m.order(t, "/order?n=a", "")
+	response, _ := m.sendKeyedOrder(t, "/order?n=a", "")
 	must.Eq(t, "not-run", response.Header.Get(outcome.Header))
 	must.Zero(t, worker.runs("a"))
 }
 
-// What the watcher of the worker is told: whole answers, and what is missing
-// by the worker's doing.
-func TestObservedOfTheWorker(t *testing.T) {
-	for behaviour, told := range map[string]string{
+// The health observer of a worker must receive a success for each complete response and a failure
+// for each request that the worker failed, and nothing for refusals and timeouts.
+func TestWorkerHealthObservations(t *testing.T) {
+	for behaviour, expected := range map[string]string{
 		"ok": "+", "lie": "+", "close": "-", "half": "-", "half-long": "-", "foreign": "-", "unframed": "-",
 		"shed": "", "hang": "",
 	} {
@@ -240,10 +240,10 @@
 			waitFor(t, func() bool { return m.in.InFlight() == 0 })
 			mutex.Lock()
 			defer mutex.Unlock()
-			must.Eq(t, told, observed)
+			must.Eq(t, expected, observed)
 		})
 	}
-	// No worker there at all.
+	// No worker is listening.
 	observed := make(chan bool, 8)
 	m, worker := newFaultyMesh(t, func(config *Config) { config.Observe = func(succeeded bool) { observed <- succeeded } })
 	_ = worker.listener.Close()
--- a/internal/traffic/bad_input_test.go
+++ b/internal/traffic/bad_input_test.go
@@ -13,13 +13,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// send writes bytes to the first node's outbound listener and reads the answer's
-// header, nil when the connection ends without one.
-func (m *catalogMesh) send(text string) *http.Response {
+// sendRaw writes bytes to the first node's outbound listener and reads the response
+// header. It returns nil if the connection ends without one.
+func (m *catalogMesh) sendRaw(text string) *http.Response {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(m.nodes[0].outbound, "http://"))
 	must.NoError(m.t, err)
 	defer conn.Close()
-	must.NoError(m.t, conn.SetDeadline(time.Now().Add(hangBound)))
+	must.NoError(m.t, conn.SetDeadline(time.Now().Add(hangTimeout)))
 	_, err = io.WriteString(conn, text)
 	must.NoError(m.t, err)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -29,10 +29,10 @@
 	return response
 }
 
-// A request that is not sound runs nowhere: without an id or with one of 10 kB,
-// with a header that others may read in another way, with a path that may lead
-// elsewhere.
-func TestDispatchRefusesUnsoundRequests(t *testing.T) {
+// Malformed requests must not reach a worker: those without an id or with one of 10 kB, those
+// whose header other servers may parse differently, and those whose path may resolve to another
+// one.
+func TestDispatchRejectsMalformedRequests(t *testing.T) {
 	head := "POST /order/ HTTP/1.1\r\nHost: shop.example\r\nX-Test-Deadline: 20000\r\n"
 	id := "X-Test-Id: r-1\r\n"
 	for name, text := range map[string]string{
@@ -47,7 +47,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newCatalogMesh(t, 1)
-			response := m.send(text)
+			response := m.sendRaw(text)
 			must.NotNil(t, response)
 			must.Eq(t, http.StatusBadRequest, response.StatusCode)
 			must.Zero(t, m.runs())
@@ -55,8 +55,8 @@
 	}
 }
 
-// A caller that stops in the middle of its body has nothing run.
-func TestDispatchRunsNoHalfBody(t *testing.T) {
+// A request whose caller disconnects in the middle of the body must not run.
+func TestIncompleteBodyIsNotRun(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(m.nodes[0].outbound, "http://"))
 	must.NoError(t, err)
--- a/internal/traffic/callers.go
+++ b/internal/traffic/callers.go
@@ -2,34 +2,35 @@
 
 import "sync"
 
-// callers learns which routes only other services call. Callers outside the mesh
-// are on all machines, those of the local worker's own service included; a route
-// that is never called from there is one that workers of other services call while
-// they run requests. Refusing such a call fails the run that made it, which cannot
-// come back as a caller can: it waits to its deadline instead.
+// callers detects internal routes: those that only workers of other services call, while
+// they run requests. Callers outside the mesh use all machines, including those of the local
+// worker's own service, so a route that is never called from there is internal. Refusing an
+// internal call fails the request that made it, which cannot be retried as a caller can
+// retry; such a call waits until its deadline instead. It is safe for concurrent use.
 type callers struct {
 	mutex  sync.Mutex
 	routes map[string]*callCounts
 }
 
-// callCounts are requests of one route.
+// callCounts counts the requests of one route by the service of the caller's node: the
+// worker's own or any other.
 type callCounts struct{ own, others int }
 
 const (
-	enoughCalls     = 50  // without one from the own service, before a route counts as internal
-	mostCalls       = 800 // then both counts are halved, so that older ones fade
-	mostCallsRoutes = 512 // that are remembered
+	minInternalCalls = 50  // requests without any from the worker's own service after which a route is internal
+	maxCallCount     = 800 // sum at which both counts are halved, so that older requests lose weight
+	maxTrackedRoutes = 512 // at most; beyond it all counts are dropped
 )
 
 func newCallers() *callers { return &callers{routes: map[string]*callCounts{}} }
 
-// note takes one request in.
-func (c *callers) note(route string, own bool) {
+// record counts one request of a route.
+func (c *callers) record(route string, own bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	counts := c.routes[route]
 	if counts == nil {
-		if len(c.routes) >= mostCallsRoutes {
+		if len(c.routes) >= maxTrackedRoutes {
 			clear(c.routes)
 		}
 		counts = &callCounts{}
@@ -40,16 +41,16 @@
 	} else {
 		counts.others++
 	}
-	if counts.own+counts.others >= mostCalls {
+	if counts.own+counts.others >= maxCallCount {
 		counts.own /= 2
 		counts.others /= 2
 	}
 }
 
-// internal reports whether only other services call a route, as far as is known.
+// internal reports whether a route has been called by other services only.
 func (c *callers) internal(route string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	counts := c.routes[route]
-	return counts != nil && counts.own == 0 && counts.others >= enoughCalls
+	return counts != nil && counts.own == 0 && counts.others >= minInternalCalls
 }
--- a/internal/traffic/callers_test.go
+++ b/internal/traffic/callers_test.go
@@ -11,42 +11,42 @@
 	"sliphead/internal/traffic/admission"
 )
 
-// A route counts as internal once enough requests have come from other services
-// alone, and no more as soon as the own service's machines call it.
-func TestCallersTellInternalRoutes(t *testing.T) {
+// A route is internal after enough requests from other services only, and no longer once a
+// machine of the worker's own service calls it.
+func TestRouteCalledByOtherServicesOnlyIsInternal(t *testing.T) {
 	c := newCallers()
-	for range enoughCalls - 1 {
-		c.note("price", false)
+	for range minInternalCalls - 1 {
+		c.record("price", false)
 	}
 	must.False(t, c.internal("price"))
-	c.note("price", false)
+	c.record("price", false)
 	must.True(t, c.internal("price"))
-	c.note("price", true)
+	c.record("price", true)
 	must.False(t, c.internal("price"))
 	must.False(t, c.internal("unknown"))
 }
 
-// One call from the own service is forgotten in time.
-func TestCallersForget(t *testing.T) {
+// A single call from the worker's own service loses its weight after enough other calls.
+func TestOldOwnCallsLoseWeight(t *testing.T) {
 	c := newCallers()
-	c.note("price", true)
-	for range mostCalls {
-		c.note("price", false)
+	c.record("price", true)
+	for range maxCallCount {
+		c.record("price", false)
 	}
 	must.True(t, c.internal("price"))
 }
 
-// Routes beyond the bound push the older ones out.
-func TestCallersAreBounded(t *testing.T) {
+// The number of tracked routes must not exceed its bound.
+func TestTrackedRoutesAreBounded(t *testing.T) {
 	c := newCallers()
-	for range 3 * mostCallsRoutes {
-		c.note(time.Now().String(), false)
+	for range 3 * maxTrackedRoutes {
+		c.record(time.Now().String(), false)
 	}
-	must.LessEq(t, mostCallsRoutes, len(c.routes))
+	must.LessEq(t, maxTrackedRoutes, len(c.routes))
 }
 
-// A call of a run is admitted before what callers sent earlier.
-func TestCallsOfRunsGoFirst(t *testing.T) {
+// A call made by a running request is admitted before earlier requests of callers.
+func TestInternalCallsAreAdmittedFirst(t *testing.T) {
 	a := newAdmitter("shop", Limits{Slots: 1, QueueLength: 10})
 	request := func(route, caller string) *exchange {
 		now := time.Now()
@@ -55,8 +55,8 @@
 			route: &snapshot.Route{Route: declaration.Route{Name: route}}, class: class{rank: 1, patient: true},
 		}
 	}
-	for range enoughCalls {
-		a.callers.note("price", false)
+	for range minInternalCalls {
+		a.callers.record("price", false)
 	}
 	running, refused := a.arrive(request("order", "shop"))
 	must.Nil(t, refused)
@@ -69,9 +69,9 @@
 	must.Eq(t, admission.Queued, order.Verdict)
 }
 
-// Where slots are short, a run that failed before since its calls had comes last: it is
-// likelier to fail again than one that comes for the first time.
-func TestRunsWhoseCallsFailedComeLast(t *testing.T) {
+// With few slots, a retry of a run that failed because its calls had failed is admitted last: it
+// is more likely to fail again than a first attempt.
+func TestRunsWithFailedCallsAreAdmittedLast(t *testing.T) {
 	a := newAdmitter("shop", Limits{Slots: 1, QueueLength: 10})
 	request := func(unlikely bool) *exchange {
 		now := time.Now()
--- a/internal/traffic/calls.go
+++ b/internal/traffic/calls.go
@@ -2,25 +2,25 @@
 
 import "sync"
 
-// Calls joins the two handlers of one node. The outbound handler notes here
-// that a call made for an inbound request has failed for good; when the worker
-// then fails the inbound request, the failure is marked as final, so that only
-// the level nearest to the failure retries and retries do not multiply along
-// the call tree.
+// Calls is shared by the inbound and outbound handlers of one node. The outbound handler
+// records that a call made for an inbound request has failed permanently. If the worker then
+// fails the inbound request, that failure is marked as final, so that only the level nearest
+// to the failure retries and retries do not multiply along the call tree. It is safe for
+// concurrent use.
 type Calls struct {
 	mutex   sync.Mutex
 	running map[string]*callState
 }
 
 type callState struct {
-	users  int
-	failed bool
+	references int
+	failed     bool
 }
 
-// NewCalls returns an empty record.
+// NewCalls returns a Calls without any running request.
 func NewCalls() *Calls { return &Calls{running: map[string]*callState{}} }
 
-// begin notes that an inbound request runs at the worker.
+// begin records that an inbound request runs at the worker.
 func (c *Calls) begin(id string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -29,10 +29,10 @@
 		state = &callState{}
 		c.running[id] = state
 	}
-	state.users++
+	state.references++
 }
 
-// end reports whether a call made for the request had failed.
+// end records that the request has completed and reports whether a call made for it failed.
 func (c *Calls) end(id string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -40,14 +40,14 @@
 	if state == nil {
 		return false
 	}
-	state.users--
-	if state.users == 0 {
+	state.references--
+	if state.references == 0 {
 		delete(c.running, id)
 	}
 	return state.failed
 }
 
-// fail notes that a call made for the request has failed for good.
+// fail records that a call made for the request has failed permanently.
 func (c *Calls) fail(id string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/traffic/certificate.go
+++ b/internal/traffic/certificate.go
@@ -12,32 +12,33 @@
 	"sliphead/internal/logging"
 )
 
-// certificateCheck is how often the files are looked at, at most.
-const certificateCheck = 10 * time.Second
+// certificateCheckInterval is the minimum time between two checks of the files.
+const certificateCheckInterval = 10 * time.Second
 
-// Certificates serves a certificate from files and takes it anew when they
-// change, so that it can be renewed while the node runs.
+// Certificates serves a certificate from files and reloads it when they change, so that the
+// certificate can be renewed while the node runs. It is safe for concurrent use.
 type Certificates struct {
 	certificateFile, keyFile string
 	logger                   log.Interface
 
-	mutex   sync.Mutex
-	current *tls.Certificate
-	changed time.Time // when the files held were last written
-	checked time.Time
+	mutex     sync.Mutex
+	current   *tls.Certificate
+	modified  time.Time // modification time of the loaded files
+	lastCheck time.Time
 }
 
-// LoadCertificates reads a certificate chain and its key, both in PEM.
+// LoadCertificates reads a PEM-encoded certificate chain and its private key. It returns a
+// fault of kind Settings if either cannot be read.
 func LoadCertificates(certificateFile, keyFile string, logger log.Interface) (*Certificates, error) {
 	c := &Certificates{certificateFile: certificateFile, keyFile: keyFile, logger: logger}
 	if err := c.load(); err != nil {
 		return nil, err
 	}
-	c.checked = time.Now()
+	c.lastCheck = time.Now()
 	return c, nil
 }
 
-// TLS returns the settings of a listener towards callers.
+// TLS returns the TLS configuration of the listener for callers: HTTP/1.1 over TLS 1.2 or later.
 func (c *Certificates) TLS() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -46,16 +47,16 @@
 	}
 }
 
-// certificate returns the newest certificate that could be read. While the
-// files are wrong, the one before goes on to serve.
+// certificate returns the latest certificate that could be loaded. While the files are
+// invalid, the previous certificate stays in use.
 func (c *Certificates) certificate(now time.Time) *tls.Certificate {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if now.Sub(c.checked) < certificateCheck {
+	if now.Sub(c.lastCheck) < certificateCheckInterval {
 		return c.current
 	}
-	c.checked = now
-	if c.written().Equal(c.changed) {
+	c.lastCheck = now
+	if c.lastModified().Equal(c.modified) {
 		return c.current
 	}
 	if err := c.load(); err != nil {
@@ -64,20 +65,20 @@
 	return c.current
 }
 
-// load reads both files; on an error all stays as it was.
+// load reads both files. On an error the current certificate is retained.
 func (c *Certificates) load() error {
-	changed := c.written()
+	changed := c.lastModified()
 	pair, err := tls.LoadX509KeyPair(c.certificateFile, c.keyFile)
 	if err != nil {
-		return fault.Wrap(err, fault.Settings, "give a certificate and its key, both in PEM", "load certificate %s and key %s", c.certificateFile, c.keyFile)
+		return fault.Wrap(err, fault.Settings, "provide a certificate and its private key, both PEM-encoded", "load certificate %s and key %s", c.certificateFile, c.keyFile)
 	}
 	c.current = &pair
-	c.changed = changed
+	c.modified = changed
 	return nil
 }
 
-// written returns when the newer of the files was written, zero if one is missing.
-func (c *Certificates) written() time.Time {
+// lastModified returns the later modification time of the two files, or zero if one is missing.
+func (c *Certificates) lastModified() time.Time {
 	certificate, err := os.Stat(c.certificateFile)
 	if err != nil {
 		return time.Time{}
--- a/internal/traffic/certificate_test.go
+++ b/internal/traffic/certificate_test.go
@@ -58,7 +58,7 @@
 	must.NoError(t, os.WriteFile(keyFile, []byte("nonsense"), 0o600))
 	written := now.Add(2 * time.Minute)
 	must.NoError(t, os.Chtimes(keyFile, written, written))
-	must.Eq(t, 2, serialOf(t, c.certificate(now.Add(time.Hour)))) // the one before goes on to serve
+	must.Eq(t, 2, serialOf(t, c.certificate(now.Add(time.Hour)))) // the previous certificate stays in use
 	must.Len(t, 1, events.Entries)
 	must.Eq(t, "certificate.refused", events.Entries[0].Message)
 }
@@ -68,7 +68,7 @@
 	must.Eq(t, fault.Settings, fault.KindOf(err))
 }
 
-func TestCallByTLS(t *testing.T) {
+func TestRequestOverTLS(t *testing.T) {
 	m, _ := newFaultyMesh(t, nil)
 	certificateFile, keyFile := writeCertificate(t, t.TempDir(), 1, time.Now())
 	c, err := LoadCertificates(certificateFile, keyFile, quiet())
--- a/internal/traffic/claim.go
+++ b/internal/traffic/claim.go
@@ -12,13 +12,13 @@
 	"sliphead/internal/outcome"
 )
 
-// replayedHeader on an answer says that it was kept from an earlier run.
+// replayedHeader marks a response that was stored by an earlier run of the request.
 const replayedHeader = "Sliphead-Replayed"
 
 const maxKeyLength = 255
 
-// claim lets a request with an idempotency key run only while this node holds
-// the key. Requests that may be repeated, and those without a key, go on.
+// claim runs a request with an idempotency key only if this node can claim the key.
+// Repeatable requests and requests without a key pass unchanged.
 func (in *Inbound) claim(next stage) stage {
 	return func(x *exchange) result {
 		if x.route.Repeatable || !hasHeader(x.request.Header, outcome.IdempotencyKey) {
@@ -28,23 +28,23 @@
 		if in.config.Claims == nil {
 			return refuse(causeClaim, time.Second, "set up claims on this node, it cannot guard an Idempotency-Key")
 		}
-		decision := in.config.Claims.Claim(x.context, x.route.Service, key, digestOf(x))
+		decision := in.config.Claims.Claim(x.context, x.route.Service, key, requestDigest(x))
 		if decision.Verdict != claim.VerdictRun {
-			return withheld(decision)
+			return resultWithoutRun(decision)
 		}
 		ended := next(x)
 		if ended.outcome == outcome.NotRun {
 			in.config.Claims.Release(x.route.Service, key, decision.Holder)
 		} else {
-			in.config.Claims.Finish(x.route.Service, key, decision.Holder, ended.keep(in.config.Limits.KeptAnswer))
+			in.config.Claims.Finish(x.route.Service, key, decision.Holder, ended.encodeForReplay(in.config.Limits.KeptAnswer))
 		}
 		return ended
 	}
 }
 
-// withheld is the ending of a request that this node does not run. When the
-// same request ran before or may be running it is not told as not run.
-func withheld(decision claim.Decision) result {
+// resultWithoutRun returns the result of a request that is not run because of its claim. The
+// outcome is not not-run when the same request ran before or may be running.
+func resultWithoutRun(decision claim.Decision) result {
 	switch decision.Verdict {
 	case claim.VerdictAnswered:
 		return replay(decision.Answer)
@@ -73,47 +73,48 @@
 	return true
 }
 
-// digestOf tells requests under one key apart: by method, target and body, a
-// streamed body by its length.
-func digestOf(x *exchange) string {
+// requestDigest distinguishes requests that use the same key. It covers method, target and
+// body; of a streamed body it covers the length only.
+func requestDigest(x *exchange) string {
 	hash := sha256.New()
 	hash.Write([]byte(x.request.Method + "\n" + x.request.URL.RequestURI() + "\n" + strconv.FormatInt(x.body.length, 10) + "\n"))
 	hash.Write(x.body.whole)
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// keptAnswer is a whole answer as it is kept under a key.
-type keptAnswer struct {
+// storedResponse is the encoding of a complete response stored under an idempotency key.
+type storedResponse struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
 }
 
-// keep encodes the answer, nil if it is not whole or longer than the limit.
-func (r *result) keep(limit int64) []byte {
+// encodeForReplay encodes the response. It returns nil if the response is incomplete, or if
+// its body or its encoding is longer than limit bytes.
+func (r *result) encodeForReplay(limit int64) []byte {
 	if r.answer == nil || int64(len(r.answer.whole)) > limit {
 		return nil
 	}
 	header := http.Header{}
 	copyEndToEnd(header, r.answer.response.Header)
-	encoded, err := json.Marshal(keptAnswer{Status: r.status, Header: header, Body: r.answer.whole})
+	encoded, err := json.Marshal(storedResponse{Status: r.status, Header: header, Body: r.answer.whole})
 	if err != nil || int64(len(encoded)) > limit {
 		return nil
 	}
 	return encoded
 }
 
-// replay turns a kept answer into the ending of another try.
+// replay returns the result of a repeated request from the stored response.
 func replay(encoded []byte) result {
-	var kept keptAnswer
-	if err := json.Unmarshal(encoded, &kept); err != nil || kept.Status < http.StatusOK {
+	var stored storedResponse
+	if err := json.Unmarshal(encoded, &stored); err != nil || stored.Status < http.StatusOK {
 		return unknown(http.StatusConflict, causeClaim, "this key ran before, look up what it came to; its kept answer cannot be read")
 	}
-	response := &http.Response{StatusCode: kept.Status, Header: kept.Header, Body: http.NoBody, ContentLength: int64(len(kept.Body))}
+	response := &http.Response{StatusCode: stored.Status, Header: stored.Header, Body: http.NoBody, ContentLength: int64(len(stored.Body))}
 	return result{
 		outcome: outcome.Answered,
-		status:  kept.Status,
+		status:  stored.Status,
 		cause:   causeNone,
-		answer:  &answer{response: response, whole: kept.Body, isWhole: true, replayed: true},
+		answer:  &answer{response: response, whole: stored.Body, isWhole: true, replayed: true},
 	}
 }
--- a/internal/traffic/cold.go
+++ b/internal/traffic/cold.go
@@ -15,24 +15,26 @@
 	"sliphead/internal/traffic/coldstart"
 )
 
-// healthTimeout bounds the wait for a worker's health answer, which takes its turn
-// among the requests.
+// healthTimeout bounds the wait for the response of the worker's health endpoint, which is
+// served in turn with ordinary requests.
 const healthTimeout = time.Second
 
-// openToCold refuses at once what a cold worker does not bear, as not run.
-func (in *Inbound) openToCold(next stage) stage {
+// checkColdCapacity refuses a request with outcome not-run, before it is queued, if a cold
+// worker has no capacity for it and it may not wait until the worker is warm.
+func (in *Inbound) checkColdCapacity(next stage) stage {
 	return func(x *exchange) result {
-		if !in.askCold(x, in.admitter.coldOpen) && !in.waitUntilWarm(x) {
+		if !in.allowedWhileCold(x, in.admitter.hasColdCapacity) && !in.waitUntilWarm(x) {
 			return refuseCold()
 		}
 		return next(x)
 	}
 }
 
-// passCold counts a request that is about to be sent to the worker.
-func (in *Inbound) passCold(next stage) stage {
+// takeColdCapacity counts a request that is about to be sent against the capacity of a cold
+// worker, and refuses it if none is left.
+func (in *Inbound) takeColdCapacity(next stage) stage {
 	return func(x *exchange) result {
-		if !in.askCold(x, in.admitter.coldTake) {
+		if !in.allowedWhileCold(x, in.admitter.takeColdCapacity) {
 			return refuseCold()
 		}
 		return next(x)
@@ -43,18 +45,18 @@
 	return refuse(causeCold, 0, "send it again later, the worker has just started and takes few requests")
 }
 
-// askCold asks whether a request may pass, and has the worker's health asked for while it
-// is not known how cold the worker is.
-func (in *Inbound) askCold(x *exchange, may func(closing.Urgency, time.Time) bool) bool {
+// allowedWhileCold reports whether allowed accepts the request now. It starts a health probe
+// if one is due because it is unknown whether the worker is cold.
+func (in *Inbound) allowedWhileCold(x *exchange, allowed func(closing.Urgency, time.Time) bool) bool {
 	now := time.Now()
 	if in.admitter.probeDue(now) {
-		go in.probe(x.view.Local)
+		go in.probeHealth(x.view.Local)
 	}
-	return may(x.class.urgency(), now)
+	return allowed(x.class.urgency(), now)
 }
 
-// urgency is how urgent requests of a class are to a cold worker: tenants' priorities come
-// first, of which it knows the first and the others, and then the routes'.
+// urgency returns the urgency of a class at a worker that sheds requests. The tenant's
+// priority decides first, where only 0 and greater are distinguished, then the route's.
 func (c class) urgency() closing.Urgency {
 	urgency := closing.Urgent
 	if c.tenant > 0 {
@@ -66,13 +68,13 @@
 	return urgency
 }
 
-func (a *admitter) coldOpen(urgency closing.Urgency, now time.Time) bool {
+func (a *admitter) hasColdCapacity(urgency closing.Urgency, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.cold.Open(urgency, now)
 }
 
-func (a *admitter) coldTake(urgency closing.Urgency, now time.Time) bool {
+func (a *admitter) takeColdCapacity(urgency closing.Urgency, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.cold.Take(urgency, now)
@@ -84,8 +86,8 @@
 	return a.cold.ProbeDue(now)
 }
 
-// Recorded takes in what the catalog says of the local worker. A new instance, and one
-// whose zone was evacuated until now, may have started just now.
+// Recorded applies a new catalog record of the local worker. A new instance, and one whose
+// zone was evacuated until now, is treated as just started and therefore cold.
 func (in *Inbound) Recorded(local snapshot.Local) {
 	now := time.Now()
 	a := in.admitter
@@ -93,10 +95,10 @@
 	defer a.mutex.Unlock()
 	before := a.recorded
 	a.recorded = local
-	a.serves(local.Instance, now)
+	a.resetOnNewInstance(local.Instance, now)
 	if before.Instance != local.Instance {
-		in.startedAgain(local)
-		in.replaced(before)
+		in.carryLeaveNotice(local)
+		in.reportReplaced(before)
 	}
 	a.cold.Bind(coldstart.Bound{
 		PerSecond: local.ColdPerSecond, Overage: in.config.Limits.ColdOverage, Slack: in.config.Limits.ColdSlack, Lasts: local.ColdStart,
@@ -109,9 +111,10 @@
 	}
 }
 
-// noteColdness learns from what a request met at the worker: one that does not take
-// connections is down, and cold when it is back; one that breaks them off may be.
-func (in *Inbound) noteColdness(failure *result) {
+// recordColdness updates the cold-start state from the result of a request at the worker. A
+// worker that refuses connections is down, and cold when it is up again. One that breaks a
+// connection may have restarted.
+func (in *Inbound) recordColdness(failure *result) {
 	now := time.Now()
 	a := in.admitter
 	a.mutex.Lock()
@@ -126,8 +129,8 @@
 	}
 }
 
-// probe asks the worker how long it stays cold.
-func (in *Inbound) probe(local snapshot.Local) {
+// probeHealth requests the worker's health to find out for how long it stays cold.
+func (in *Inbound) probeHealth(local snapshot.Local) {
 	ctx, cancel := context.WithTimeout(context.Background(), healthTimeout)
 	defer cancel()
 	remaining, err := in.coldRemaining(ctx, local)
@@ -138,13 +141,13 @@
 		in.admitter.cold.Probed(remaining, time.Now())
 		return
 	case ctx.Err() == nil:
-		in.admitter.cold.Started(time.Now()) // it is down, and not merely slow to answer
+		in.admitter.cold.Started(time.Now()) // the worker is down, rather than slow to respond
 	}
 	logging.Problem(in.config.Logger, "worker.healthUnknown", err, logging.Fields{"instance": local.Instance})
 }
 
-// coldRemaining reads the worker's health answer. One without word of it is of a worker
-// that is not cold.
+// coldRemaining requests the worker's health and returns for how long the worker stays cold.
+// A successful response without that header means that the worker is not cold.
 func (in *Inbound) coldRemaining(ctx context.Context, local snapshot.Local) (time.Duration, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+in.config.WorkerAddress+local.HealthPath, nil)
 	if err != nil {
@@ -156,20 +159,20 @@
 		return 0, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	_, _ = io.Copy(io.Discard, response.Body) // only so that the connection can be used again
+	_, _ = io.Copy(io.Discard, response.Body) // drain the body so that the connection can be reused
 	if named := get(response.Header, in.config.Protocol.Instance); named != "" && named != local.ID {
-		return 0, fault.New(fault.Worker, "record the worker that has this address", "instance %s answers in place of %s", named, local.ID)
+		return 0, fault.New(fault.Worker, "update the catalog record of the worker at this address", "health response came from instance %s instead of %s", named, local.ID)
 	}
-	told := get(response.Header, in.config.Protocol.ColdRemaining)
-	if told == "" && response.StatusCode != http.StatusOK {
-		return 0, fault.New(fault.Worker, "let the worker's health answer say how long it stays cold", "the worker's health answered %d", response.StatusCode)
+	reported := get(response.Header, in.config.Protocol.ColdRemaining)
+	if reported == "" && response.StatusCode != http.StatusOK {
+		return 0, fault.New(fault.Worker, "report the remaining cold time in the worker's health response", "worker health endpoint returned status %d", response.StatusCode)
 	}
-	if told == "" {
+	if reported == "" {
 		return 0, nil
 	}
-	milliseconds, err := strconv.ParseFloat(told, 64)
+	milliseconds, err := strconv.ParseFloat(reported, 64)
 	if err != nil {
-		return 0, fault.Wrap(err, fault.Worker, "let the worker's health answer tell milliseconds", "%q is no time for which a worker stays cold", told)
+		return 0, fault.Wrap(err, fault.Worker, "report the remaining cold time in milliseconds in the worker's health response", "invalid remaining cold time %q", reported)
 	}
 	return time.Duration(milliseconds * float64(time.Millisecond)), nil
 }
--- a/internal/traffic/cold_test.go
+++ b/internal/traffic/cold_test.go
@@ -11,12 +11,12 @@
 	"sliphead/internal/snapshot"
 )
 
-// A worker that has just been recorded gets no more than a cold one bears: what comes
-// beyond is refused as not run, with the time after which to come back.
-func TestColdWorkerIsHeldToItsBound(t *testing.T) {
+// A worker with a new catalog record gets no more requests than the capacity of a cold worker.
+// Requests beyond it are refused with outcome not-run and Retry-After.
+func TestColdWorkerRateIsLimited(t *testing.T) {
 	m := newCatalogMesh(t, 1)
-	const bears = 5 // a second; one may go out at once
-	cold := snapshot.Local{Instance: m.nodes[0].worker.id, ID: m.nodes[0].worker.id, Service: "shop", Slots: 2, Connections: 130, ColdPerSecond: bears, ColdStart: time.Hour, HealthPath: "/health"}
+	const capacity = 5 // requests per second; one may be sent at once
+	cold := snapshot.Local{Instance: m.nodes[0].worker.id, ID: m.nodes[0].worker.id, Service: "shop", Slots: 2, Connections: 130, ColdPerSecond: capacity, ColdStart: time.Hour, HealthPath: "/health"}
 	m.nodes[0].in.Recorded(cold)
 	m.nodes[0].in.admitter.cold.Probed(time.Hour, time.Now())
 	statuses := map[int]int{}
@@ -29,15 +29,15 @@
 			must.NotEq(t, "", response.Header.Get("Retry-After"))
 		}
 	}
-	borne := 1 + int(bears*time.Since(began).Seconds())
+	allowed := 1 + int(capacity*time.Since(began).Seconds())
 	must.Eq(t, 40, statuses[http.StatusOK]+statuses[http.StatusServiceUnavailable])
-	must.LessEq(t, borne, m.runs())
+	must.LessEq(t, allowed, m.runs())
 	must.Eq(t, statuses[http.StatusOK], m.runs())
 }
 
-// A worker whose zone was evacuated until now is taken for cold: it may have started anew
-// while it was sent nothing.
-func TestWorkerIsTakenForColdAfterAnEvacuation(t *testing.T) {
+// A worker is treated as cold when the evacuation of its zone ends, since it may have restarted
+// while it received no requests.
+func TestWorkerIsColdAfterZoneEvacuation(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	in := m.nodes[0].in
 	local := snapshot.Local{Instance: "i-0", ColdPerSecond: 5, ColdStart: time.Minute}
@@ -52,11 +52,11 @@
 	must.True(t, in.admitter.cold.Limits(time.Now()))
 }
 
-// The health answer of a worker counts by its header; one without is of a warm worker, and
-// one that can't be read tells nothing.
-func TestHealthAnswerTellsHowColdTheWorkerIs(t *testing.T) {
-	for told, wanted := range map[string]time.Duration{"": 0, "1500": 1500 * time.Millisecond, "0.5": 500 * time.Microsecond} {
-		remaining, err := healthOf(t, told)
+// The header of a worker's health response gives its remaining cold time. A response without the
+// header means a warm worker, and an invalid header is an error.
+func TestHealthResponseReportsColdTime(t *testing.T) {
+	for header, wanted := range map[string]time.Duration{"": 0, "1500": 1500 * time.Millisecond, "0.5": 500 * time.Microsecond} {
+		remaining, err := healthOf(t, header)
 		must.NoError(t, err)
 		must.Eq(t, wanted, remaining)
 	}
@@ -64,9 +64,9 @@
 	must.Error(t, err)
 }
 
-// A health answer of another worker, which has the address now, says nothing of the one that
-// was asked: a cold worker is not taken for warm by it.
-func TestHealthAnswerOfAnotherWorker(t *testing.T) {
+// A health response of another worker that now has the address must not make a cold worker appear
+// warm.
+func TestHealthResponseOfAnotherWorkerIsRejected(t *testing.T) {
 	remaining, err := healthOf(t, "1500", "i-local")
 	must.NoError(t, err)
 	must.Eq(t, 1500*time.Millisecond, remaining)
@@ -74,13 +74,13 @@
 	must.Error(t, err)
 }
 
-// healthOf asks a worker whose health answer tells that it stays cold for so long, and its id
-// if one is given.
-func healthOf(t *testing.T, told string, id ...string) (time.Duration, error) {
+// healthOf returns the remaining cold time read from a health response with the given header
+// value and, if given, worker id.
+func healthOf(t *testing.T, coldHeader string, id ...string) (time.Duration, error) {
 	worker := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		must.Eq(t, "/health", request.URL.Path)
-		if told != "" {
-			writer.Header().Set("X-Test-Cold", told)
+		if coldHeader != "" {
+			writer.Header().Set("X-Test-Cold", coldHeader)
 		}
 		for _, each := range id {
 			writer.Header().Set(testProtocol.Instance, each)
--- a/internal/traffic/cold_wait.go
+++ b/internal/traffic/cold_wait.go
@@ -6,32 +6,33 @@
 	"sliphead/internal/sleep"
 )
 
-// Once a worker is warm it bears several times what it did before. A caller at its last try
-// that was refused for a worker's coldness is lost; where its time reaches beyond the end of
-// the coldness, it waits for that at the worker's node and is answered, though late. Others
-// are told when to come back. On a day of 73 nodes on which all lose power once, this left
-// 3.1 % of all requests unserved in place of 3.7 % (one play each, no processor time).
+// A warm worker has several times the capacity of a cold one. A request at its caller's last
+// attempt is lost if it is refused because the worker is cold. If its deadline lies beyond the
+// end of the cold period, it therefore waits at the worker's node and gets a late response.
+// Other requests are refused with a retry delay. In a simulated day of 73 nodes that all lose
+// power once, this left 3.1 % of all requests unserved instead of 3.7 % (one run each, without
+// processor time).
 
-// warmRounds is how many rounds of a worker's slots may wait for it to be warm. What waits
-// longer than a round comes on top of what callers send then.
-const warmRounds = 1
+// maxWarmWaitRounds is how many requests per slot may wait until the worker is warm. More
+// than one would add to the requests that callers send at that time.
+const maxWarmWaitRounds = 1
 
-// waitUntilWarm has a request at its caller's last try wait until the worker is warm. It
-// reports false when there is no place, or too little time would be left.
+// waitUntilWarm lets a request at its caller's last attempt wait until the worker is warm. It
+// returns false if too many requests wait already or too little time would be left.
 func (in *Inbound) waitUntilWarm(x *exchange) bool {
 	a := in.admitter
-	wait, joined := a.joinWarming(x, time.Now())
+	wait, joined := a.reserveWarmWait(x, time.Now())
 	if !joined {
 		return false
 	}
-	defer a.leaveWarming()
-	x.sign()
+	defer a.releaseWarmWait()
+	x.sendAck()
 	return sleep.For(x.context, wait)
 }
 
-// joinWarming takes a place among the requests that wait for the worker to be warm, and
-// returns for how long.
-func (a *admitter) joinWarming(x *exchange, now time.Time) (time.Duration, bool) {
+// reserveWarmWait adds a request to those that wait until the worker is warm, and returns the
+// remaining cold time. It reports false if the request may not wait.
+func (a *admitter) reserveWarmWait(x *exchange, now time.Time) (time.Duration, bool) {
 	if !x.class.returned || x.instance == "" {
 		return 0, false
 	}
@@ -39,20 +40,20 @@
 	defer a.mutex.Unlock()
 	wait := a.cold.ColdFor(now)
 	slots := a.queue.Slots()
-	if a.warming >= warmRounds*slots {
+	if a.warmWaits >= maxWarmWaitRounds*slots {
 		return 0, false
 	}
 	_, run := a.queue.Forecast(a.classOf(x), x.route.Name, now)
-	const rounds = warmRounds + 1 // its own run behind those before it
+	const rounds = maxWarmWaitRounds + 1 // its own run after those queued before it
 	if now.Add(wait + rounds*run).After(x.deadline) {
 		return 0, false
 	}
-	a.warming++
+	a.warmWaits++
 	return wait, true
 }
 
-func (a *admitter) leaveWarming() {
+func (a *admitter) releaseWarmWait() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.warming--
+	a.warmWaits--
 }
--- a/internal/traffic/deadline.go
+++ b/internal/traffic/deadline.go
@@ -8,14 +8,14 @@
 	"sliphead/internal/outcome"
 )
 
-// limitTime ends the exchange at the earlier of the route's own deadline and
-// the one that the caller's node told. A deadline only shrinks on its way.
+// limitTime ends the exchange at the earlier of the route's deadline and the one received
+// from the caller's node, so that a deadline never grows along the call tree.
 func limitTime(next stage) stage {
 	return func(x *exchange) result {
 		allowed := time.Duration(x.route.DeadlineMS) * time.Millisecond
-		told := number(x.request.Header, outcome.Deadline, -1)
-		if told >= 0 {
-			x.given = time.Duration(told) * time.Millisecond
+		received := number(x.request.Header, outcome.Deadline, -1)
+		if received >= 0 {
+			x.given = time.Duration(received) * time.Millisecond
 			allowed = min(allowed, x.given)
 		}
 		if allowed <= 0 {
@@ -30,7 +30,8 @@
 	}
 }
 
-// limitDepth refuses requests that call each other in a loop.
+// limitDepth rejects requests at a call depth of levels or more, which stops services that
+// call each other in a loop.
 func limitDepth(levels int) filter {
 	return func(next stage) stage {
 		return func(x *exchange) result {
@@ -42,5 +43,5 @@
 	}
 }
 
-// millisecondsLeft returns the time left for the request.
+// millisecondsLeft returns the time until the deadline, negative once it has passed.
 func (x *exchange) millisecondsLeft() int64 { return time.Until(x.deadline).Milliseconds() }
--- a/internal/traffic/depth_test.go
+++ b/internal/traffic/depth_test.go
@@ -17,19 +17,20 @@
 	"sliphead/internal/version"
 )
 
-// chain is a call tree of one path: the worker of each level calls the next
-// through its own node.
+// chain is a linear call tree: the worker of each level calls the next level through its own
+// node.
 type chain struct {
-	runs    []atomic.Int64 // by level
-	entry   string         // of the edge
-	depths  []atomic.Int64 // the last depth told to each level
-	tooDeep atomic.Int64   // answers that told of a loop
-	blamed  []atomic.Int64 // failures told of each level's worker
+	runs             []atomic.Int64 // by level
+	entry            string         // URL at the edge
+	depths           []atomic.Int64 // last depth received by each level
+	loopResponses    atomic.Int64   // responses with status 508 Loop Detected
+	observedFailures []atomic.Int64 // failures observed of each level's worker
 }
 
-// newChain starts the levels. The last one fails as told.
+// newChain starts the levels. The last one serves requests with the given handler; with loop,
+// each level calls itself.
 func newChain(t *testing.T, levels int, loop bool, last http.HandlerFunc) *chain {
-	c := &chain{runs: make([]atomic.Int64, levels), depths: make([]atomic.Int64, levels), blamed: make([]atomic.Int64, levels)}
+	c := &chain{runs: make([]atomic.Int64, levels), depths: make([]atomic.Int64, levels), observedFailures: make([]atomic.Int64, levels)}
 	holder := &snapshot.Holder{}
 	holder.Renew(time.Now().Add(time.Hour))
 	var routes []*snapshot.Route
@@ -48,12 +49,12 @@
 				last(w, r)
 				return
 			}
-			c.passOn(w, r, outbound.URL+"/level-"+strconv.Itoa(next))
+			c.callNextLevel(w, r, outbound.URL+"/level-"+strconv.Itoa(next))
 		}
 		worker := httptest.NewServer(http.HandlerFunc(handler))
 		observe := func(succeeded bool) {
 			if !succeeded {
-				c.blamed[level].Add(1)
+				c.observedFailures[level].Add(1)
 			}
 		}
 		inbound := serve(t, NewInbound(Config{Observe: observe, Holder: holder, Calls: calls, WorkerAddress: address(worker.URL), Limits: Limits{Slots: 64}, Logger: quiet()}), Limits{})
@@ -75,9 +76,9 @@
 	return c
 }
 
-// passOn calls the next level with the context of the request. When that
-// fails it breaks its own connection: the worst that a worker can do.
-func (c *chain) passOn(w http.ResponseWriter, r *http.Request, target string) {
+// callNextLevel calls the next level with the context of the request. If the call fails, it
+// closes its own connection, the worst failure that a worker can produce.
+func (c *chain) callNextLevel(w http.ResponseWriter, r *http.Request, target string) {
 	request, _ := http.NewRequestWithContext(r.Context(), "GET", target, nil)
 	for _, name := range []string{outcome.RequestID, outcome.Deadline, outcome.RetryBudget, outcome.Depth} {
 		request.Header.Set(name, r.Header.Get(name))
@@ -88,7 +89,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusLoopDetected {
-		c.tooDeep.Add(1)
+		c.loopResponses.Add(1)
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
 		panic(http.ErrAbortHandler)
@@ -96,8 +97,8 @@
 	_, _ = io.Copy(w, response.Body)
 }
 
-// Where the last of 22 levels always fails, and each level above breaks in
-// turn, only the level nearest to the failure tries again.
+// Retries must not multiply along a call tree: with 22 levels of which the last always fails and
+// each level above then fails in turn, only the level nearest to the failure retries.
 func TestRetriesDoNotMultiply(t *testing.T) {
 	const levels, requests = 22, 100
 	c := newChain(t, levels, false, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
@@ -113,19 +114,19 @@
 	}
 	t.Logf("levels=%d requests=%d runs=%d amplification=%.4f last-level-runs=%d", levels, requests, total, float64(total)/(levels*requests), c.runs[levels-1].Load())
 	must.LessEq(t, levels*requests*11/10, total)
-	must.Greater(t, requests, c.runs[levels-1].Load()) // the nearest level does try again
+	must.Greater(t, requests, c.runs[levels-1].Load()) // the nearest level does retry
 	for level := range levels {
 		must.Eq(t, int64(level), c.depths[level].Load())
-		must.Eq(t, level == levels-1, c.blamed[level].Load() > 0) // a failure below is not the worker's own
+		must.Eq(t, level == levels-1, c.observedFailures[level].Load() > 0) // a failure of a lower level is not attributed to the worker
 	}
 }
 
-// A service that calls itself is stopped at the depth bound.
-func TestLoopIsBounded(t *testing.T) {
+// A service that calls itself is stopped at the maximum call depth.
+func TestCallLoopIsBoundedByDepth(t *testing.T) {
 	c := newChain(t, 1, true, nil)
 	response, err := http.Get(c.entry)
 	must.NoError(t, err)
 	_ = response.Body.Close()
-	must.Eq(t, 1, c.tooDeep.Load())
+	must.Eq(t, 1, c.loopResponses.Load())
 	must.LessEq(t, int64(defaultMaxDepth*11/10), c.runs[0].Load())
 }
--- a/internal/traffic/drain_test.go
+++ b/internal/traffic/drain_test.go
@@ -15,7 +15,7 @@
 	"sliphead/internal/snapshot"
 )
 
-// echoWorker answers with the whole body that it got.
+// echoWorker responds with the whole body that it received.
 func echoWorker(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -24,41 +24,41 @@
 	_, _ = w.Write(body)
 }
 
-// artwork is half of an upload. Together with other it is larger than any
-// buffer on the way.
+// firstHalf and secondHalf make up the body of an upload, which is larger than all buffers on
+// its path.
 var (
-	artwork = strings.Repeat("0123456789abcdef", 1<<15)
-	other   = strings.Repeat("fedcba9876543210", 1<<15)
+	firstHalf  = strings.Repeat("0123456789abcdef", 1<<15)
+	secondHalf = strings.Repeat("fedcba9876543210", 1<<15)
 )
 
-// upload is one of which the test decides when it goes on.
+// upload is an upload that the test can pause and continue.
 type upload struct {
 	writer *io.PipeWriter
 	answer func() io.Reader
 }
 
-func startHalf(t *testing.T, m *mesh) *upload {
+func startHalfUpload(t *testing.T, m *mesh) *upload {
 	reader, writer := io.Pipe()
 	u := &upload{writer: writer, answer: m.startUpload(t, reader)}
-	_, err := io.WriteString(writer, artwork)
+	_, err := io.WriteString(writer, firstHalf)
 	must.NoError(t, err)
 	return u
 }
 
-// finish sends the rest and checks that the worker got all.
+// finish sends the second half and checks that the worker received the whole body.
 func (u *upload) finish(t *testing.T) {
-	_, err := io.WriteString(u.writer, other)
+	_, err := io.WriteString(u.writer, secondHalf)
 	must.NoError(t, err)
 	must.NoError(t, u.writer.Close())
 	text, err := io.ReadAll(u.answer())
 	must.NoError(t, err)
-	must.True(t, string(text) == artwork+other, must.Sprintf("answer of %d bytes", len(text)))
+	must.True(t, string(text) == firstHalf+secondHalf, must.Sprintf("response of %d bytes", len(text)))
 }
 
-// A drain ends only after an upload that has begun, and lets nothing new run.
-func TestDrainCutsNothing(t *testing.T) {
+// A drain must wait for an upload in progress and reject new requests.
+func TestDrainWaitsForUploads(t *testing.T) {
 	m := newMesh(t, echoWorker, nil)
-	upload := startHalf(t, m)
+	upload := startHalfUpload(t, m)
 	waitFor(t, func() bool { return m.in.Busy() == 1 })
 	m.in.Drain()
 	m.in.Drain()
@@ -98,38 +98,38 @@
 	})
 }
 
-// An upload that breaks off does not look whole to the worker.
-func TestBrokenUploadIsCutAtTheWorker(t *testing.T) {
+// An interrupted upload must not look complete to the worker.
+func TestBrokenUploadIsIncompleteAtWorker(t *testing.T) {
 	ended := make(chan error, 1)
 	m := newMesh(t, func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
 		ended <- err
 	}, nil)
-	upload := startHalf(t, m)
+	upload := startHalfUpload(t, m)
 	_ = upload.writer.CloseWithError(io.ErrUnexpectedEOF)
 	must.Error(t, <-ended)
 	waitFor(t, func() bool { return m.in.InFlight() == 0 && m.out.InFlight() == 0 })
 }
 
-// A refused upload goes to another node, since nothing of its body was read.
-func TestRefusedUploadIsTriedElsewhere(t *testing.T) {
+// A refused upload is retried at another node, since none of its body was read.
+func TestRefusedUploadIsRetriedAtAnotherNode(t *testing.T) {
 	m := newMesh(t, echoWorker, nil)
 	draining := NewInbound(Config{Node: "n0", Holder: m.holder})
 	draining.Drain()
-	away := serve(t, draining, Limits{})
-	defer away.Close()
+	drainingServer := serve(t, draining, Limits{})
+	defer drainingServer.Close()
 	view, _ := m.holder.Current(time.Now())
 	endpoints := view.Route("upload").Endpoints[:1]
 	near := endpoints[0]
-	near.Worker, near.Address = "w0", address(away.URL)
+	near.Worker, near.Address = "w0", address(drainingServer.URL)
 	far := endpoints[0]
 	far.Zone = "z2"
 	m.holder.Store(viewOf([]snapshot.Endpoint{near, far}))
-	startHalf(t, m).finish(t)
+	startHalfUpload(t, m).finish(t)
 }
 
-// An expired lease lets nothing new run.
-func TestLostLeaseRefuses(t *testing.T) {
+// A node whose lease has expired must not run requests.
+func TestExpiredLeaseRefusesRequests(t *testing.T) {
 	m, worker := newFaultyMesh(t, nil)
 	m.holder.Renew(time.Now())
 	response, _, err := m.call(t, "POST", "/order?n=a", "")
--- a/internal/traffic/fairness_test.go
+++ b/internal/traffic/fairness_test.go
@@ -14,9 +14,9 @@
 	"sliphead/internal/traffic/closing"
 )
 
-// fairMesh is two nodes, the second with a worker of one slot, that know four tenants by
-// keys of their names: two of priority 0, two of priority 1.
-func fairMesh(t *testing.T) *catalogMesh {
+// newPriorityMesh starts two nodes, the second with a worker of one slot. They have four tenants,
+// two of priority 0 and two of priority 1, whose keys are their names.
+func newPriorityMesh(t *testing.T) *catalogMesh {
 	var tenants []catalog.Tenant
 	for priority, names := range [][]string{{"first", "second"}, {"third", "fourth"}} {
 		for _, name := range names {
@@ -37,8 +37,8 @@
 	return m
 }
 
-// runOrder has the worker's slot held, sends requests of tenants one after the other, each
-// once the one before it waits, and returns the order in which they ran.
+// runOrder occupies the worker's slot, queues the requests of tenants one after the other, and
+// returns the order in which they ran.
 func (m *catalogMesh) runOrder(requests [][2]string) []string {
 	node := m.nodes[1]
 	node.worker.script = []string{"wait"}
@@ -72,27 +72,27 @@
 	return order
 }
 
-// At a worker that is busy, the priority of tenants decides, and among equal ones that of
-// routes.
-func TestTenantsPriorityComesFirst(t *testing.T) {
-	order := fairMesh(t).runOrder([][2]string{{"third", "/order/1"}, {"fourth", "/lookup/1"}, {"second", "/order/1"}, {"second", "/lookup/1"}})
+// A busy worker runs queued requests by the priority of their tenants, and those of equal
+// tenants by the priority of their routes.
+func TestTenantPriorityPrecedesRoutePriority(t *testing.T) {
+	order := newPriorityMesh(t).runOrder([][2]string{{"third", "/order/1"}, {"fourth", "/lookup/1"}, {"second", "/order/1"}, {"second", "/lookup/1"}})
 	must.Eq(t, []string{"second/lookup/1", "second/order/1", "fourth/lookup/1", "third/order/1"}, order)
 }
 
-// A tenant that sends much waits behind itself: another one's request goes before what it
-// has waiting, but for the first.
-func TestTenantWaitsBehindItself(t *testing.T) {
+// A tenant with many queued requests must not delay other tenants: requests of another tenant
+// alternate with its own.
+func TestTenantDoesNotDelayOtherTenants(t *testing.T) {
 	var requests [][2]string
 	for range 5 {
 		requests = append(requests, [2]string{"third", "/lookup/1"})
 	}
-	order := fairMesh(t).runOrder(append(requests, [2]string{"fourth", "/lookup/1"}, [2]string{"fourth", "/lookup/1"}))
+	order := newPriorityMesh(t).runOrder(append(requests, [2]string{"fourth", "/lookup/1"}, [2]string{"fourth", "/lookup/1"}))
 	must.Eq(t, []string{"third/lookup/1", "fourth/lookup/1", "third/lookup/1", "fourth/lookup/1"}, order[:4])
 	must.False(t, slices.Contains(order[4:], "fourth/lookup/1"))
 }
 
-// At a cold worker, too, tenants decide before routes.
-func TestUrgencyOfTenants(t *testing.T) {
+// The urgency at a cold worker also depends on the tenant before the route.
+func TestUrgencyByTenantAndRoute(t *testing.T) {
 	for _, each := range []struct {
 		tenant, rank int
 		urgency      closing.Urgency
@@ -101,16 +101,17 @@
 	}
 }
 
-// The caller's node tells the priority of the tenant and that of the route.
-func TestHopTellsPriorities(t *testing.T) {
+// The priorities of tenant and route that are sent between nodes are decoded as encoded, and
+// invalid texts are rejected.
+func TestPriorityEncodingRoundTrip(t *testing.T) {
 	for text, priorities := range map[string]class{"0": {}, "2": {rank: 2}, "2.1": {rank: 2, tenant: 1}, "0.3": {tenant: 3}} {
 		must.Eq(t, text, priorities.priority())
-		tenant, rank, sound := decodePriority(text)
-		must.True(t, sound)
+		tenant, rank, valid := decodePriority(text)
+		must.True(t, valid)
 		must.Eq(t, priorities, class{tenant: tenant, rank: rank})
 	}
 	for _, text := range []string{"", ".", "1.", ".1", "1.1.1", "x"} {
-		_, _, sound := decodePriority(text)
-		must.False(t, sound, must.Sprint(text))
+		_, _, valid := decodePriority(text)
+		must.False(t, valid, must.Sprint(text))
 	}
 }
--- a/internal/traffic/gate.go
+++ b/internal/traffic/in_flight.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// gate counts requests in flight and, once draining, lets no more in.
+// gate counts the requests in flight and rejects new ones once draining. It is safe for
+// concurrent use.
 type gate struct {
 	mutex    sync.Mutex
 	draining bool
@@ -15,7 +16,7 @@
 
 func newGate() *gate { return &gate{empty: make(chan struct{})} }
 
-// enter lets a request in, false when draining.
+// enter counts a new request. It returns false when draining.
 func (g *gate) enter() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -26,7 +27,7 @@
 	return true
 }
 
-// leave ends a request that was let in.
+// leave ends a request for which enter returned true.
 func (g *gate) leave() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -56,7 +57,7 @@
 	return g.inFlight
 }
 
-// wait returns when the gate drains and nothing is in flight any more.
+// wait blocks until draining has begun and no request is in flight, or until ctx ends.
 func (g *gate) wait(ctx context.Context) error {
 	select {
 	case <-g.empty:
--- a/internal/traffic/inbound.go
+++ b/internal/traffic/inbound.go
@@ -11,52 +11,53 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// Inbound takes requests from other nodes to the local worker.
+// Inbound forwards requests from other nodes to the local worker. It is safe for concurrent use.
 type Inbound struct {
-	config   Config
-	gate     *gate
-	admitter *admitter
-	worker   *workerLink
-	metrics  *metrics
-	seen     atomic.Pointer[snapshot.View] // the view that slots and connections were taken from
-	handle   stage
-	gone     atomic.Pointer[string] // the last instance that the worker said it is not
-	leaving  atomic.Pointer[leavingWord]
-	runs     *workerRuns
-	nested   *nestedCalls
-	charge   func(service string, arrivals float64) // takes arrivals off the budget of the handler beside; nil: there is none
-	retains  atomic.Bool                            // whether this node answers for a worker whose record is gone
+	config       Config
+	requests     *gate
+	admitter     *admitter
+	worker       *workerLink
+	metrics      *metrics
+	capacityView atomic.Pointer[snapshot.View] // view that slots and connections were last taken from
+	handle       stage
+	gone         atomic.Pointer[string] // the last instance that the worker denied being, by 421 Misdirected Request
+	leaveNotice  atomic.Pointer[leaveNotice]
+	runs         *workerRuns
+	nested       *nestedCalls
+	charge       func(service string, arrivals float64) // deducts arrivals from the retry budget of the same node's outbound handler; nil: there is none
+	retains      atomic.Bool                            // whether requests are still accepted for a worker whose catalog record has expired
 }
 
-// NewInbound returns the handler of the inbound listener.
+// NewInbound returns the handler of the inbound listener. Zero fields of the configuration
+// take their defaults; Holder is required.
 func NewInbound(config Config) *Inbound {
 	config = config.withDefaults()
-	in := &Inbound{config: config, gate: newGate()}
+	in := &Inbound{config: config, requests: newGate()}
 	in.admitter = newAdmitter(config.Service, config.Limits)
 	in.worker = newWorkerLink(config)
 	in.runs = newWorkerRuns()
 	in.nested = newNestedCalls()
-	in.metrics = newMetrics(config, "inbound", gauges{inFlight: in.gate.count, queued: in.admitter.waiting})
+	in.metrics = newMetrics(config, "inbound", gauges{inFlight: in.requests.count, queued: in.admitter.waiting})
 	in.registerLimit()
 	in.handle = pipe(in.forward, in.classify, limitDepth(config.Limits.MaxDepth), limitTime, readBody(&in.config.Limits), in.admitter.admit, in.claim)
 	if !config.Protocol.own() {
-		in.handle = pipe(in.forward, in.classify, limitTime, in.openToCold, in.pace, in.admitter.admit, in.stillLocal, in.passCold, readBody(&in.config.Limits), in.stillLocal, in.keepQuarantined)
+		in.handle = pipe(in.forward, in.classify, limitTime, in.checkColdCapacity, in.paceBody, in.admitter.admit, in.stillLocal, in.takeColdCapacity, readBody(&in.config.Limits), in.stillLocal, in.refuseQuarantined)
 	}
 	return in
 }
 
-// serveLocal runs a request of the outbound handler of the same node.
+// serveLocal runs a request that the outbound handler of the same node passes on directly.
 func (in *Inbound) serveLocal(x *exchange) result {
-	if !in.gate.enter() {
+	if !in.requests.enter() {
 		return refuse(causeDraining, time.Second, "send it again, another worker will take it")
 	}
-	defer in.gate.leave()
+	defer in.requests.leave()
 	x.load = func() balance.Load { return in.admitter.load(x) }
 	x.wholeUnframed = true
 	if refused := in.checkLocal(x); refused != nil {
 		return *refused
 	}
-	ended := in.openToCold(in.admitter.admit(in.stillLocal(in.passCold(in.keepQuarantined(in.forward)))))(x)
+	ended := in.checkColdCapacity(in.admitter.admit(in.stillLocal(in.takeColdCapacity(in.refuseQuarantined(in.forward)))))(x)
 	in.metrics.count(x, ended)
 	return ended
 }
@@ -86,31 +87,33 @@
 	if in.config.Seen != nil {
 		in.config.Seen(remoteHost(request))
 	}
-	if !in.gate.enter() {
+	if !in.requests.enter() {
 		in.metrics.conclude(x, refuse(causeDraining, time.Second, "send it again, another worker will take it"))
 		return
 	}
-	defer in.gate.leave()
+	defer in.requests.leave()
 	in.metrics.conclude(x, in.handle(x))
 }
 
-// Drain refuses new requests as not run from now on.
-func (in *Inbound) Drain() { in.gate.drain() }
+// Drain makes the handler refuse all new requests with outcome not-run. Requests in flight
+// continue.
+func (in *Inbound) Drain() { in.requests.drain() }
 
-// Busy returns the number of requests that hold a slot of the worker.
+// Busy returns the number of requests that occupy a slot of the worker.
 func (in *Inbound) Busy() int { return in.admitter.busy() }
 
-// Queued returns the number of requests that wait for a slot.
+// Queued returns the number of requests that are queued for a slot.
 func (in *Inbound) Queued() int { return in.admitter.waiting() }
 
-// InFlight returns the number of requests that have not ended.
-func (in *Inbound) InFlight() int { return in.gate.count() }
+// InFlight returns the number of requests that have not completed.
+func (in *Inbound) InFlight() int { return in.requests.count() }
 
-// Wait returns when the handler drains and all requests have ended.
-func (in *Inbound) Wait(ctx context.Context) error { return in.gate.wait(ctx) }
+// Wait blocks until the handler is draining and all requests have completed. It returns the
+// error of ctx if that ends first.
+func (in *Inbound) Wait(ctx context.Context) error { return in.requests.wait(ctx) }
 
-// classify finds the route that the caller's node chose and checks that the
-// local worker takes it.
+// classify looks up the route that the caller's node selected and checks that the
+// local worker serves it.
 func (in *Inbound) classify(next stage) stage {
 	return func(x *exchange) result {
 		if fix := malformed(x.request); fix != "" {
@@ -132,12 +135,12 @@
 		}
 		x.view = view
 		x.route = route
-		in.adjust(view)
+		in.adoptCapacity(view)
 		return next(x)
 	}
 }
 
-// workerFields are the headers that the worker is sent.
+// workerFields returns the header fields added to the request sent to the worker.
 func (in *Inbound) workerFields(x *exchange) []field {
 	if in.config.Protocol.own() {
 		return append(x.contextFields(), field{attemptHeader, x.attempt})
@@ -145,7 +148,7 @@
 	return in.config.Protocol.workerFields(x)
 }
 
-// forward runs the request at the worker.
+// forward sends the request to the worker and records the result.
 func (in *Inbound) forward(x *exchange) result {
 	fields := in.workerFields(x)
 	if x.route.Credential != "" {
@@ -155,15 +158,15 @@
 	in.countRun(x)
 	began := time.Now()
 	x.sent = began
-	in.admitter.noteSent(began)
+	in.admitter.recordSent(began)
 	direct, transport := in.worker.connections()
 	to := hop{pool: direct, transport: transport, address: in.config.WorkerAddress, fields: fields, protocol: &in.config.Protocol}
 	got, failure := send(x, &to, func(response *http.Response) *result { return in.checkWorker(x, response) })
 	callFailed := in.config.Calls.end(x.id)
-	in.noteColdness(failure)
-	in.noteRejection(failure)
+	in.recordColdness(failure)
+	in.recordRejection(failure)
 	if failure == nil {
-		in.markNested(x, got, began)
+		in.markNestedFailure(x, got, began)
 	}
 	ended := result{outcome: outcome.Answered, cause: causeNone, answer: got}
 	switch {
@@ -175,20 +178,21 @@
 	default:
 		ended = got.pass(x)
 	}
-	in.noteRun(x, &ended)
+	in.recordRun(x, &ended)
 	if !callFailed {
 		in.observe(x, ended.cause)
 	}
 	return ended
 }
 
-// observe tells what a request met at the worker. Refusals, ends of time and
-// callers that left say nothing about it.
-func (in *Inbound) observe(x *exchange, met cause) {
+// observe reports the success or failure of a request to the worker's health observer.
+// Refusals, expired deadlines and disconnected callers are not reported, since they are no
+// evidence about the worker.
+func (in *Inbound) observe(x *exchange, ending cause) {
 	if in.config.Observe == nil || x.request.Context().Err() != nil || x.context.Err() != nil {
 		return
 	}
-	switch met {
+	switch ending {
 	case causeNone:
 		in.config.Observe(true)
 	case causeConnect, causeBroken, causeForeign, causeUnframed:
@@ -196,10 +200,9 @@
 	}
 }
 
-// checkWorker refuses a worker's answer that belongs to another request and
-// takes the worker's own refusal: 503, outcome not-run and the try it was sent
-// for. Without naming the try it may be a copy of what another service told
-// the worker.
+// checkWorker rejects a worker's response that belongs to another request, and recognizes
+// the worker's own refusal: status 503, outcome not-run and the attempt's id. Without the
+// attempt's id the response may be one that the worker copied from another service.
 func (in *Inbound) checkWorker(x *exchange, response *http.Response) *result {
 	if !in.config.Protocol.own() {
 		return in.checkInstance(x, response)
@@ -211,8 +214,8 @@
 	if missing || other || response.StatusCode == http.StatusSwitchingProtocols {
 		return foreign()
 	}
-	told := outcome.Outcome(get(response.Header, outcome.Header))
-	if response.StatusCode == http.StatusServiceUnavailable && told == outcome.NotRun && echoed != "" {
+	reported := outcome.Outcome(get(response.Header, outcome.Header))
+	if response.StatusCode == http.StatusServiceUnavailable && reported == outcome.NotRun && echoed != "" {
 		shed := refuse(causeRefused, time.Duration(number(response.Header, "Retry-After", 1))*time.Second, "send it again later, the worker sheds load")
 		return &shed
 	}
--- a/internal/traffic/keepers_test.go
+++ b/internal/traffic/keepers_test.go
@@ -23,9 +23,9 @@
 	"sliphead/internal/wire"
 )
 
-// keeperFleet is a fleet in virtual time: workers with their nodes, whose
-// keepers talk over a network in memory, and edges. Nodes are killed, started
-// again and cut off while orders run.
+// keeperFleet is a simulated fleet in virtual time: edges, and workers with their nodes, whose
+// claim keepers exchange messages over an in-memory network. Nodes are killed, restarted and
+// partitioned while orders run.
 type keeperFleet struct {
 	t       *testing.T
 	pipes   pipes
@@ -36,15 +36,15 @@
 	workers []claim.Worker
 
 	mutex    sync.Mutex
-	nodes    map[string]*keeperNode // running, by worker
+	nodes    map[string]*keeperNode // running nodes by worker
 	started  int
-	cut      map[string]bool // workers on the minor side of a cut
-	byKey    map[string]int  // runs
+	cut      map[string]bool // workers on the minority side of a partition
+	byKey    map[string]int  // runs by idempotency key
 	byID     map[string]int  // runs by request id
-	verdicts map[string]int  // endings of submissions
+	outcomes map[string]int  // number of submissions by outcome
 }
 
-// keeperNode is one process beside a worker.
+// keeperNode is one node process of a worker.
 type keeperNode struct {
 	name   string
 	worker string
@@ -59,7 +59,7 @@
 func newKeeperFleet(t *testing.T) *keeperFleet {
 	f := &keeperFleet{
 		t: t, pipes: pipes{}, holder: &snapshot.Holder{}, since: time.Now().Add(time.Second),
-		nodes: map[string]*keeperNode{}, cut: map[string]bool{}, byKey: map[string]int{}, byID: map[string]int{}, verdicts: map[string]int{},
+		nodes: map[string]*keeperNode{}, cut: map[string]bool{}, byKey: map[string]int{}, byID: map[string]int{}, outcomes: map[string]int{},
 	}
 	transport := &http.Transport{DialContext: f.pipes.dial}
 	f.client = &http.Client{Transport: transport}
@@ -95,7 +95,7 @@
 	return f
 }
 
-// start runs a new process beside a worker, which remembers nothing.
+// start starts a new node process for a worker, without any state.
 func (f *keeperFleet) start(worker string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -106,7 +106,7 @@
 			Node: node.name, Worker: worker, KeyLife: 10 * time.Minute, MaxClaim: 2 * time.Second, Retry: 200 * time.Millisecond,
 			Since: f.since, ClockSkew: 100 * time.Millisecond, Random: rand.New(rand.NewPCG(uint64(f.started), 2)),
 		},
-		Send: func(outgoing wire.Outgoing) { f.carry(worker, outgoing) },
+		Send: func(outgoing wire.Outgoing) { f.deliver(worker, outgoing) },
 	})
 	node.in = NewInbound(Config{
 		Node: node.name, Holder: f.holder, Claims: node.keeper, Worker: worker, WorkerAddress: "worker-" + worker,
@@ -122,7 +122,7 @@
 	f.configure()
 }
 
-// kill ends the process beside a worker, with whatever it does.
+// kill stops the node process of a worker without waiting for its requests.
 func (f *keeperFleet) kill(worker string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -136,7 +136,7 @@
 	node.in.worker.pool.close()
 }
 
-// configure tells all keepers which nodes run.
+// configure gives all keepers the list of running nodes.
 func (f *keeperFleet) configure() {
 	names := map[string]string{}
 	for worker, node := range f.nodes {
@@ -147,8 +147,8 @@
 	}
 }
 
-// carry delivers a message unless a cut lies between.
-func (f *keeperFleet) carry(from string, outgoing wire.Outgoing) {
+// deliver delivers a message unless sender and receiver are partitioned.
+func (f *keeperFleet) deliver(from string, outgoing wire.Outgoing) {
 	go func() {
 		f.mutex.Lock()
 		var to *claim.Keeper
@@ -164,7 +164,8 @@
 	}()
 }
 
-// setCut cuts these workers' nodes off from the others'; none heals.
+// setCut partitions the nodes of these workers from the others; without workers it heals the
+// partition.
 func (f *keeperFleet) setCut(workers ...claim.Worker) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -174,7 +175,7 @@
 	}
 }
 
-// work is the worker: it writes a run into the journal before anything else.
+// work is the handler of the workers. It counts a run before it does anything else.
 func (f *keeperFleet) work(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	behaviour, id := r.URL.Query().Get("do"), r.Header.Get(outcome.RequestID)
@@ -195,10 +196,10 @@
 	case "break":
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(w, own(key))
+	_, _ = io.WriteString(w, ownBody(key))
 }
 
-// submit sends one submission of an order and checks what it was told.
+// submit sends one submission of an order and checks its outcome against the runs.
 func (f *keeperFleet) submit(key, id, behaviour string, edge int) {
 	request, _ := http.NewRequest("POST", fmt.Sprintf("http://edge-%d:80/order?do=%s", edge, behaviour), strings.NewReader("cards"))
 	request.Header.Set(outcome.IdempotencyKey, key)
@@ -208,24 +209,23 @@
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
 	must.NoError(f.t, err)
-	told := outcome.Outcome(response.Header.Get(outcome.Header))
+	reported := outcome.Outcome(response.Header.Get(outcome.Header))
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.verdicts[string(told)]++
-	switch told {
+	f.outcomes[string(reported)]++
+	switch reported {
 	case outcome.Answered:
-		must.Eq(f.t, own(key), string(text))
+		must.Eq(f.t, ownBody(key), string(text))
 		must.Eq(f.t, 1, f.byKey[key])
 	case outcome.NotRun:
-		must.Zero(f.t, f.byID[id], must.Sprintf("%s was told as not run", id))
+		must.Zero(f.t, f.byID[id], must.Sprintf("%s ran but was reported as not-run", id))
 	case outcome.Unknown:
 	default:
 		f.t.Errorf("%s has no outcome", id)
 	}
 }
 
-// order submits one key several times, each through another edge, now and then
-// two at once.
+// order submits one key several times through alternating edges, sometimes several at once.
 func (f *keeperFleet) order(seed uint64, number int) {
 	const submissions = 5
 	random := rand.New(rand.NewPCG(seed, uint64(number)))
@@ -243,8 +243,8 @@
 	running.Wait()
 }
 
-// disturb cuts, kills and restarts nodes until the fleet is told to heal.
-func (f *keeperFleet) disturb(seed uint64, healed <-chan struct{}) {
+// injectFaults partitions, kills and restarts nodes until healed is closed.
+func (f *keeperFleet) injectFaults(seed uint64, healed <-chan struct{}) {
 	random := rand.New(rand.NewPCG(seed, 99))
 	down := ""
 	for {
@@ -271,9 +271,9 @@
 	}
 }
 
-// An order under a key runs at most once, and not run is true, while the
-// keepers of its key are cut off, killed and started again without memory.
-func TestOrdersRunOnceWhileKeepersFail(t *testing.T) {
+// An order under an idempotency key must run at most once, and a request reported as not-run must
+// not have run, while the keepers of its key are partitioned, killed and restarted without state.
+func TestOrdersRunAtMostOnceWhileKeepersFail(t *testing.T) {
 	const orders, seeds = 60, 10
 	ran := 0
 	for seed := range uint64(seeds) {
@@ -283,7 +283,7 @@
 				time.Sleep(2 * time.Second)
 				healed := make(chan struct{})
 				var disturbing, running sync.WaitGroup
-				disturbing.Go(func() { f.disturb(seed, healed) })
+				disturbing.Go(func() { f.injectFaults(seed, healed) })
 				for number := range orders {
 					running.Go(func() { f.order(seed, number) })
 				}
@@ -293,13 +293,13 @@
 				for key, runs := range f.byKey {
 					must.LessEq(t, 1, runs, must.Sprintf("%s ran %d times", key, runs))
 				}
-				t.Logf("seed=%d ran=%d answered=%d not-run=%d unknown=%d", seed, len(f.byKey), f.verdicts["answered"], f.verdicts["not-run"], f.verdicts["unknown"])
+				t.Logf("seed=%d ran=%d answered=%d not-run=%d unknown=%d", seed, len(f.byKey), f.outcomes["answered"], f.outcomes["not-run"], f.outcomes["unknown"])
 				ran += len(f.byKey)
 				for _, kind := range []string{"answered", "not-run", "unknown"} {
-					must.Positive(t, f.verdicts[kind])
+					must.Positive(t, f.outcomes[kind])
 				}
 			})
 		})
 	}
-	must.Greater(t, orders*seeds/6, ran) // else little was tried
+	must.Greater(t, orders*seeds/6, ran) // otherwise too few orders ran for the test to mean anything
 }
--- a/internal/traffic/keys_fuzz_test.go
+++ b/internal/traffic/keys_fuzz_test.go
@@ -13,8 +13,8 @@
 	"sliphead/internal/version"
 )
 
-// Whatever a caller sends as its key: the header is gone, and nobody is let in but by the
-// key itself.
+// Whatever a caller sends as its key, the header must be removed, and only the exact key may
+// identify a tenant.
 func FuzzKeyHeader(f *testing.F) {
 	for _, text := range []string{"Bearer " + pressKey, "bearer  " + pressKey + " ", "Bearer", "", "Basic " + pressKey, "Bearer " + pressKey + ",x", "Bearer\t" + pressKey} {
 		f.Add(text, false)
@@ -27,7 +27,7 @@
 		if twice {
 			header[keyHeader] = append(header[keyHeader], text)
 		}
-		key, given := takeKey(header)
+		key, given := extractKey(header)
 		must.Eq(t, http.Header{"Other": {"kept"}}, header)
 		if given && view.TenantOf(key) != nil {
 			scheme, rest, _ := strings.Cut(text, " ")
@@ -41,7 +41,8 @@
 	})
 }
 
-// Whatever a node is told, it reads it or not; and what it has read says the same again.
+// Any text is either rejected or decoded to a request that is equal after encoding and decoding
+// it again.
 func FuzzHopRequest(f *testing.F) {
 	whole := hopRequest{
 		attempt: "a1", instance: "i-1", caller: "shop", route: "order",
@@ -53,30 +54,30 @@
 	f.Add("a1;i-1;;order;-1.-1;r;-5;0;%zz,,zz")
 	f.Add(strings.Repeat(";", 8))
 	f.Fuzz(func(t *testing.T, text string) {
-		read, sound := decodeHopRequest(text)
-		if !sound {
+		decoded, valid := decodeHopRequest(text)
+		if !valid {
 			return
 		}
-		again, sound := decodeHopRequest(read.encode())
-		must.True(t, sound)
-		must.Eq(t, read, again)
+		again, valid := decodeHopRequest(decoded.encode())
+		must.True(t, valid)
+		must.Eq(t, decoded, again)
 	})
 }
 
-// A credential is read as it was written, whatever the name of the tenant.
+// A credential must be decoded as it was encoded, whatever the name of the tenant.
 func FuzzCredential(f *testing.F) {
 	f.Add("press", uint64(1))
 	f.Add("a;b,c%2C/\r\n é", uint64(1<<63))
-	f.Fuzz(func(t *testing.T, name string, known uint64) {
-		told := credential{name: name, tag: catalog.DigestKey(name).Tag(), version: known}
+	f.Fuzz(func(t *testing.T, name string, revision uint64) {
+		sent := credential{name: name, tag: catalog.DigestKey(name).Tag(), version: revision}
 		if name == "" {
-			told = credential{}
+			sent = credential{}
 		}
-		text := told.encode()
+		text := sent.encode()
 		must.StrNotContains(t, text, hopSeparator)
 		must.False(t, strings.ContainsAny(text, "\r\n\x00"))
-		read, sound := decodeCredential(text)
-		must.True(t, sound)
-		must.Eq(t, told, read)
+		decoded, valid := decodeCredential(text)
+		must.True(t, valid)
+		must.Eq(t, sent, decoded)
 	})
 }
--- a/internal/traffic/keys_test.go
+++ b/internal/traffic/keys_test.go
@@ -20,7 +20,7 @@
 	"sliphead/internal/snapshot"
 )
 
-// callWithKey sends a request to a path with a key and returns its answer.
+// callWithKey sends a request to a path with a key and returns the response.
 func (m *catalogMesh) callWithKey(method, path, key string) *http.Response {
 	m.t.Helper()
 	body := ""
@@ -32,7 +32,8 @@
 	return response
 }
 
-// setAge lets a node's knowledge be so old, where keys are in force within two seconds.
+// setAge returns the age of a node's configuration, which the test can change, and sets the time
+// within which key changes must be in force to two seconds.
 func (m *catalogMesh) setAge(node int) *atomic.Int64 {
 	age := &atomic.Int64{}
 	for _, config := range []*Config{&m.nodes[node].out.config, &m.nodes[node].in.config} {
@@ -42,9 +43,9 @@
 	return age
 }
 
-// A caller never repeats what is answered 401. A node that may not have heard of its key yet
-// has it come back; one that knows better says so.
-func TestUnknownKeyWhereKnowledgeIsOld(t *testing.T) {
+// Callers do not retry after a 401. A node whose configuration is too old to contain a new key
+// therefore asks for a retry; one with a recent configuration rejects an unknown key.
+func TestUnknownKeyWithStaleConfiguration(t *testing.T) {
 	m := newTenantMesh(t, nil)
 	var lines bytes.Buffer
 	m.nodes[0].out.metrics.logger = logging.New(&lines, log.InfoLevel)
@@ -63,8 +64,8 @@
 	must.Eq(t, 1, m.runs())
 }
 
-// A node that is told to fail closed lets nobody in by keys that may have been withdrawn
-// meanwhile.
+// A node configured to fail closed must accept no key once its configuration is so old that the
+// key may have been withdrawn.
 func TestKeysFailClosed(t *testing.T) {
 	for _, public := range []bool{false, true} {
 		m := newTenantMesh(t, func(route *snapshot.Route) { route.Public = public })
@@ -84,9 +85,9 @@
 	}
 }
 
-// A key that is withdrawn while the first worker refuses its request is not offered to a
-// second; a public route goes on without a tenant.
-func TestKeyWithdrawnBeforeTheSecondOffer(t *testing.T) {
+// A request whose key is withdrawn while the first worker refuses it must not be offered to a
+// second one. On a public route it continues without a tenant.
+func TestKeyWithdrawnBetweenOffers(t *testing.T) {
 	for _, public := range []bool{false, true} {
 		m := newCatalogMesh(t, 3)
 		m.publish(func(route *snapshot.Route) {
@@ -110,13 +111,14 @@
 			must.Eq(t, 0, m.runs())
 			continue
 		}
-		// It goes on: the second worker refuses as well, each is tried within the attempts.
+		// The request continues: the second worker refuses it as well, within the allowed attempts.
 		must.Eq(t, 2, offers.Load())
 	}
 }
 
-// queueBehind has a request hold the only slot of the second node's worker and returns the
-// status of one that waits behind it, and what lets both go on.
+// queueBehind sends a request that occupies the only slot of the second node's worker and another
+// one that is queued. It returns the channel of both statuses and the function that lets them
+// complete.
 func (m *catalogMesh) queueBehind(path string) (waiting <-chan int, release func()) {
 	node := m.nodes[1]
 	view, _ := node.holder.Current(time.Now())
@@ -145,9 +147,9 @@
 	return statuses, func() { close(node.worker.gate) }
 }
 
-// A key that is withdrawn while its request waits in the worker's queue does not run it; on
-// a public route it runs without a tenant.
-func TestKeyWithdrawnInTheQueue(t *testing.T) {
+// A request whose key is withdrawn while it is queued must not run. On a public route it runs
+// without a tenant.
+func TestKeyWithdrawnWhileQueued(t *testing.T) {
 	for _, public := range []bool{false, true} {
 		m := newTenantMesh(t, func(route *snapshot.Route) { route.Public = public })
 		statuses, release := m.queueBehind("/lookup/1")
@@ -165,9 +167,9 @@
 	}
 }
 
-// A worker's node that knows of a withdrawal, but has heard nothing since, does not have the
-// caller rejected for good: the key may be in force again.
-func TestWithdrawalThatIsOldNews(t *testing.T) {
+// A worker's node with a withdrawal in an old configuration must not reject the caller
+// permanently, since the key may have been added again.
+func TestStaleWithdrawalIsNotFinal(t *testing.T) {
 	m := newTenantMesh(t, nil)
 	age := m.setAge(1)
 	m.publishTenants(1, 2, []catalog.Tenant{})
@@ -178,9 +180,9 @@
 	must.Eq(t, 0, m.runs())
 }
 
-// Keys change while one connection is kept, in quick succession, down to the last and back;
-// either node may be behind the other.
-func TestKeysChangeOnAKeptConnection(t *testing.T) {
+// Keys change in quick succession while one connection stays open, down to no key and back.
+// Either node may have an older configuration than the other.
+func TestKeysChangeOnPersistentConnection(t *testing.T) {
 	const other = "k-press-2"
 	with := func(keys ...string) []catalog.Tenant {
 		tenant := catalog.Tenant{Name: press, Keys: []catalog.KeyDigest{}}
@@ -191,20 +193,20 @@
 	}
 	m := newTenantMesh(t, nil)
 	for step, now := range []struct {
-		first, worker          uint64 // versions at the first and at the worker's node
+		first, worker          uint64 // revisions at the first and at the worker's node
 		firstKeys, workerKeys  []string
 		pressStatus, newStatus int
 	}{
 		{1, 1, []string{pressKey}, []string{pressKey}, 200, 401},
-		{3, 1, []string{pressKey, other}, []string{pressKey}, 200, 200}, // added at the first node alone
+		{3, 1, []string{pressKey, other}, []string{pressKey}, 200, 200}, // added at the first node only
 		{3, 3, []string{pressKey, other}, []string{pressKey, other}, 200, 200},
-		{3, 4, []string{pressKey, other}, []string{other}, 401, 200}, // withdrawn at the worker's node alone
+		{3, 4, []string{pressKey, other}, []string{other}, 401, 200}, // withdrawn at the worker's node only
 		{4, 4, []string{other}, []string{other}, 401, 200},
-		{5, 4, nil, []string{other}, 401, 401}, // the last one, at the first node alone
-		{4, 5, []string{other}, nil, 401, 401}, // and at the worker's node alone
-		{7, 5, []string{other}, nil, 401, 200}, // and back: a version in between was not seen
+		{5, 4, nil, []string{other}, 401, 401}, // the last key withdrawn, at the first node only
+		{4, 5, []string{other}, nil, 401, 401}, // and at the worker's node only
+		{7, 5, []string{other}, nil, 401, 200}, // added again, without the revision in between
 		{7, 7, []string{other}, []string{other}, 401, 200},
-		{4, 7, []string{other}, []string{other}, 401, 200}, // withdrawn and added again, unseen by the first node
+		{4, 7, []string{other}, []string{other}, 401, 200}, // withdrawn and added again while the first node was behind
 	} {
 		m.publishTenants(0, now.first, with(now.firstKeys...))
 		m.publishTenants(1, now.worker, with(now.workerKeys...))
@@ -215,12 +217,12 @@
 	}
 }
 
-// What one node tells another holds no key, in no header, of whatever route.
-func TestNoKeyBetweenNodes(t *testing.T) {
+// A request between nodes must not contain the caller's key in any header, on any route.
+func TestKeyIsNotSentBetweenNodes(t *testing.T) {
 	m := newCatalogMesh(t, 2)
-	var told sync.Map
+	var sent sync.Map
 	spy := serve(t, http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		told.Store(fmt.Sprint(request.URL, request.Header), true)
+		sent.Store(fmt.Sprint(request.URL, request.Header), true)
 		m.nodes[1].in.ServeHTTP(writer, request)
 	}), Limits{})
 	t.Cleanup(spy.Close)
@@ -239,7 +241,7 @@
 		}
 	}
 	count := 0
-	told.Range(func(each, _ any) bool {
+	sent.Range(func(each, _ any) bool {
 		count++
 		must.StrNotContains(t, each.(string), "k-press")
 		return true
@@ -247,10 +249,10 @@
 	must.Eq(t, 6, count) // four with the key, two without one on the public route
 }
 
-// A request stays in the regions that its tenant allows, and in those that its route allows
-// too: by the choice of the caller's node, and by the worker's node.
-func TestRequestStaysWhereItsTenantMayBe(t *testing.T) {
-	for _, held := range []struct {
+// A request stays in the regions that both its tenant and its route allow. The caller's node and
+// the worker's node each enforce this alone.
+func TestRequestStaysInAllowedRegions(t *testing.T) {
+	for _, allowed := range []struct {
 		route, tenant []string
 		status        int
 	}{
@@ -261,21 +263,21 @@
 		{[]string{"r2"}, []string{"r1"}, http.StatusServiceUnavailable},
 		{[]string{"r1"}, []string{}, http.StatusOK},
 	} {
-		at := pressTenant()
-		at[0].Regions = held.tenant
-		for _, informed := range [][]int{{0, 1}, {0}, {1}} { // nodes that know of the bounds
+		tenants := pressTenant()
+		tenants[0].Regions = allowed.tenant
+		for _, informed := range [][]int{{0, 1}, {0}, {1}} { // nodes that have the restrictions
 			m := newTenantMesh(t, nil)
 			for _, node := range informed {
 				view, _ := m.nodes[node].holder.Current(time.Now())
 				for _, route := range view.Routes {
-					route.Regions = held.route
+					route.Regions = allowed.route
 				}
-				m.publishTenants(node, 1, at)
+				m.publishTenants(node, 1, tenants)
 			}
 			response := m.callWithKey(http.MethodPost, "/order/1", pressKey)
-			must.Eq(t, held.status, response.StatusCode, must.Sprint(held, informed))
-			must.Eq(t, held.status == http.StatusOK, m.runs() == 1)
-			if held.status != http.StatusOK && slices.Contains(informed, 0) {
+			must.Eq(t, allowed.status, response.StatusCode, must.Sprint(allowed, informed))
+			must.Eq(t, allowed.status == http.StatusOK, m.runs() == 1)
+			if allowed.status != http.StatusOK && slices.Contains(informed, 0) {
 				must.StrContains(t, response.Header.Get(outcome.Remedy), "regions")
 			}
 		}
--- a/internal/traffic/limited.go
+++ b/internal/traffic/limited.go
@@ -6,64 +6,65 @@
 	"sliphead/internal/traffic/workerlimit"
 )
 
-// limitHeader on a request between nodes tells the limit of the worker as the caller's node
-// has heard it in answers: the node beside the worker may have started anew since.
+// limitHeader on a request between nodes carries the worker's limit as the caller's node has
+// received it in responses, since the worker's node may have restarted and lost it.
 const limitHeader = internalPrefix + "Limit"
 
-// applyLimit holds the queue to what the worker allows. All requests to the worker are granted
-// by the queue, whichever way they come. The mutex is held.
+// applyLimit limits the queue to the request rate that the worker reports. All requests to the
+// worker pass this queue, whatever their origin. The caller holds the mutex.
 func (a *admitter) applyLimit(now time.Time) {
-	if said := a.report.limit.InForce(); said.Named {
-		a.tell(a.queue.Limit(float64(said.Rate), now))
+	if limit := a.report.limit.InForce(); limit.Named {
+		a.notify(a.queue.Limit(float64(limit.Rate), now))
 	} else {
-		a.closed = [len(a.closed)]time.Time{}
-		a.tell(a.queue.Unlimit(now))
+		a.closedUntil = [len(a.closedUntil)]time.Time{}
+		a.notify(a.queue.Unlimit(now))
 	}
-	a.awaitTurn(now)
+	a.scheduleFill(now)
 }
 
-// adoptLimit takes in what the caller's node has heard of the worker, while this node has
-// heard nothing of it. The mutex is held.
+// adoptLimit adopts the worker's limit that the caller's node has received, as long as this
+// node has received none. The caller holds the mutex.
 func (a *admitter) adoptLimit(x *exchange, now time.Time) {
 	if a.report.limit.Adopt(x.limitReported, now) {
 		a.applyLimit(now)
 	}
 }
 
-// refuseLimited is the refusal of a request beyond what the worker allows. Its caller's node
-// stays away for a while, so that few requests cross to a worker that does not take them.
-// The mutex is held.
+// refuseLimited returns the refusal of a request beyond the worker's limit. It also extends the
+// time for which callers' nodes are asked to send no more requests of that urgency, so that few
+// requests are sent to a node only to be refused there. The caller holds the mutex.
 func (a *admitter) refuseLimited(x *exchange, wait time.Duration, now time.Time) result {
-	a.closed.Book(x.class.urgency(), a.queue.Interval(), now)
+	a.closedUntil.Book(x.class.urgency(), a.queue.Interval(), now)
 	return refuse(causeLimit, wait, "send it again later, the worker is in need and takes few requests")
 }
 
-// awaitTurn has the queue filled when the next request has its turn that waits for no slot.
-// The mutex is held.
-func (a *admitter) awaitTurn(now time.Time) {
+// scheduleFill sets the timer for the next queued request that waits for the rate limit rather
+// than for a slot. The caller holds the mutex.
+func (a *admitter) scheduleFill(now time.Time) {
 	wait := a.queue.NextTurn(now)
 	switch {
 	case wait <= 0:
-	case a.turn == nil:
-		a.turn = time.AfterFunc(wait, a.takeTurn)
+	case a.fillTimer == nil:
+		a.fillTimer = time.AfterFunc(wait, a.fillQueue)
 	default:
-		a.turn.Reset(wait)
+		a.fillTimer.Reset(wait)
 	}
 }
 
-func (a *admitter) takeTurn() {
+func (a *admitter) fillQueue() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	now := time.Now()
-	a.tell(a.queue.Fill(now))
-	a.awaitTurn(now)
+	a.notify(a.queue.Fill(now))
+	a.scheduleFill(now)
 }
 
-// readLimitReported reads what the caller's node has heard; what can't be read tells nothing.
+// readLimitReported parses the limit that the caller's node has received. An invalid value
+// counts as none.
 func readLimitReported(values []string) workerlimit.Told {
-	told, err := workerlimit.Parse(values)
+	limit, err := workerlimit.Parse(values)
 	if err != nil {
-		return workerlimit.Told{} // nodes write what Parse has read: it came from elsewhere
+		return workerlimit.Told{} // nodes send only values that Parse accepts, so a node did not write it
 	}
-	return told
+	return limit
 }
--- a/internal/traffic/limits_test.go
+++ b/internal/traffic/limits_test.go
@@ -14,43 +14,43 @@
 	"sliphead/internal/outcome"
 )
 
-// hangBound turns a wait that would never end into a failure.
-const hangBound = 30 * time.Second
+// hangTimeout makes a test fail instead of waiting forever.
+const hangTimeout = 30 * time.Second
 
-// raw writes bytes to the outbound listener and reads the answer's header.
-func (m *mesh) raw(t *testing.T, text string) (net.Conn, *http.Response, error) {
+// sendRaw writes bytes to the outbound listener and reads the response header.
+func (m *mesh) sendRaw(t *testing.T, text string) (net.Conn, *http.Response, error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address(m.outbound.URL))
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	must.NoError(t, conn.SetDeadline(time.Now().Add(hangBound)))
+	must.NoError(t, conn.SetDeadline(time.Now().Add(hangTimeout)))
 	_, err = io.WriteString(conn, text)
 	must.NoError(t, err)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	return conn, response, err
 }
 
-// A final answer does not wait for a body that does not come.
-func TestFinalAnswerIsNotHeldBack(t *testing.T) {
+// A final response must not wait for a request body that does not arrive.
+func TestFinalResponseDoesNotWaitForBody(t *testing.T) {
 	m, _ := newFaultyMesh(t, nil)
 	for path, status := range map[string]int{
 		"/nowhere":            http.StatusNotFound,
 		"/quick-order?n=late": http.StatusRequestTimeout, // a small body is read first
 	} {
-		_, response, err := m.raw(t, "POST "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nsome")
+		_, response, err := m.sendRaw(t, "POST "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nsome")
 		must.NoError(t, err)
 		must.Eq(t, status, response.StatusCode)
 		must.Eq(t, "not-run", response.Header.Get(outcome.Header))
 	}
-	_, response, err := m.raw(t, "POST /quick-upload?n=art&do=hang HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\nsome")
+	_, response, err := m.sendRaw(t, "POST /quick-upload?n=art&do=hang HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\nsome")
 	must.NoError(t, err)
 	must.GreaterEq(t, http.StatusBadGateway, response.StatusCode)
 	must.Eq(t, "unknown", response.Header.Get(outcome.Header))
 }
 
-// A connection goes on to serve, or is closed in an orderly way, after a
-// request was refused with its body unread.
-func TestRefusalWithUnreadBody(t *testing.T) {
+// After a request was refused with its body unread, its connection must either remain usable or be
+// closed cleanly.
+func TestConnectionAfterRefusalWithUnreadBody(t *testing.T) {
 	m, _ := newFaultyMesh(t, nil)
 	for range 20 {
 		response, _, err := m.call(t, "POST", "/nowhere", "a body")
@@ -58,12 +58,12 @@
 		must.Eq(t, http.StatusNotFound, response.StatusCode)
 		_, text, err := m.call(t, "POST", "/order?n=a", "a body")
 		must.NoError(t, err)
-		must.Eq(t, own("a"), text)
+		must.Eq(t, ownBody("a"), text)
 	}
 }
 
-// The end of the caller's connection ends the run at the worker.
-func TestCancellationReachesTheWorker(t *testing.T) {
+// When the caller closes its connection, the request must be cancelled at the worker.
+func TestCancellationReachesWorker(t *testing.T) {
 	m, worker := newFaultyMesh(t, nil)
 	conn, err := net.Dial("tcp", address(m.outbound.URL))
 	must.NoError(t, err)
@@ -71,30 +71,30 @@
 	must.NoError(t, err)
 	waitFor(t, func() bool { return worker.runs("a") == 1 })
 	must.NoError(t, conn.Close())
-	worker.mustEnd(t, "a")
+	worker.requireDisconnect(t, "a")
 }
 
-// A connection whose answers no longer match its requests is closed.
-func TestForeignAnswerEndsTheConnection(t *testing.T) {
+// A worker connection whose responses no longer match the requests must be closed.
+func TestForeignResponseClosesConnection(t *testing.T) {
 	m, worker := newFaultyMesh(t, nil)
 	response, _, err := m.call(t, "POST", "/order?n=a&do=foreign-hang", "")
 	must.NoError(t, err)
 	must.Eq(t, "unknown", response.Header.Get(outcome.Header))
-	worker.mustEnd(t, "a")
+	worker.requireDisconnect(t, "a")
 }
 
-// mustEnd waits until the node has ended the connection of the request.
-func (w *rawWorker) mustEnd(t *testing.T, name string) {
+// requireDisconnect waits until the node has closed the worker connection of the named request.
+func (w *rawWorker) requireDisconnect(t *testing.T, name string) {
 	select {
 	case ended := <-w.ended:
 		must.Eq(t, name, ended)
-	case <-time.After(hangBound):
+	case <-time.After(hangTimeout):
 		t.Fatal("the worker's connection is still open")
 	}
 }
 
-// Nothing of a request that can be read in two ways reaches a worker.
-func TestMalformedIsNotForwarded(t *testing.T) {
+// A request that can be parsed in two ways, or is malformed, must not reach a worker.
+func TestMalformedRequestIsNotForwarded(t *testing.T) {
 	long := strings.Repeat("x", 100<<10)
 	for name, text := range map[string]string{
 		"two lengths":          "POST /order?n=bad HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcd",
@@ -116,7 +116,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			m, worker := newFaultyMesh(t, nil)
-			_, response, err := m.raw(t, text)
+			_, response, err := m.sendRaw(t, text)
 			must.NoError(t, err)
 			must.GreaterEq(t, 400, response.StatusCode)
 			must.Zero(t, worker.runs("bad"))
@@ -125,7 +125,7 @@
 	}
 }
 
-// A caller's internal headers do not pass an edge.
+// An edge must remove a caller's internal headers from requests, and a worker's from responses.
 func TestForgedHeadersAreStripped(t *testing.T) {
 	seen := make(chan http.Header, 1)
 	m := newMesh(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/traffic/load.go
+++ b/internal/traffic/load.go
@@ -8,22 +8,23 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// A load is told as "busy/slots/queued", with "/wait/run", "/wait/run/link" or
-// "/wait/run/link/closed" in milliseconds behind it where they are known, and after these
-// "/rejects" in percent.
+// A load is encoded as "busy/slots/queued", followed where available by "/wait/run",
+// "/wait/run/link" or "/wait/run/link/closed" in milliseconds, and after these by "/rejects"
+// in percent.
 
 const loadSeparator = "/"
 
 func encodeLoad(load balance.Load) string {
 	parts := []string{
 		strconv.Itoa(load.Busy), strconv.Itoa(load.Slots), strconv.Itoa(load.Queued),
-		inMilliseconds(load.Wait), inMilliseconds(load.Run), inMilliseconds(load.Link), inMilliseconds(load.Closed), inPercent(load.Rejects),
+		inMilliseconds(load.Wait), inMilliseconds(load.Run), inMilliseconds(load.Link), inMilliseconds(load.Closed), formatPercent(load.Rejects),
 	}
-	return strings.Join(parts[:toldParts(load)], loadSeparator)
+	return strings.Join(parts[:encodedParts(load)], loadSeparator)
 }
 
-// toldParts is how many parts of a load are told: up to the last that is known.
-func toldParts(load balance.Load) int {
+// encodedParts returns how many parts of a load are encoded: up to the last one that is not
+// zero.
+func encodedParts(load balance.Load) int {
 	const counts, forecast, link, closed, rejects = 3, 5, 6, 7, 8
 	switch {
 	case load.Rejects > 0:
@@ -39,13 +40,14 @@
 	}
 }
 
-// percent is how many parts of a hundredth a share is told in.
+// percent converts a share, from 0 to 1, to percent.
 const percent = 100
 
-func inPercent(share float64) string { return strconv.Itoa(int(share*percent + 0.5)) }
+func formatPercent(share float64) string { return strconv.Itoa(int(share*percent + 0.5)) }
 
-// shareOf reads a count of hundredths, 0 when it is none between nothing and the whole.
-func shareOf(text string) float64 {
+// parsePercent returns the share encoded as percent, or 0 if the text is not a number from 0
+// to 100.
+func parsePercent(text string) float64 {
 	count, err := strconv.Atoi(text)
 	if err != nil || count < 0 || count > percent {
 		return 0
@@ -57,7 +59,7 @@
 	return strconv.FormatInt(duration.Milliseconds(), 10)
 }
 
-// parseLoad reads what encodeLoad wrote, false if it can't be.
+// parseLoad decodes the output of encodeLoad. It returns false if the text is invalid.
 func parseLoad(text string) (balance.Load, bool) {
 	busy, rest, _ := strings.Cut(text, loadSeparator)
 	slots, rest, found := strings.Cut(rest, loadSeparator)
@@ -66,7 +68,7 @@
 	run, rest, _ := strings.Cut(rest, loadSeparator)
 	link, rest, _ := strings.Cut(rest, loadSeparator)
 	closed, rejects, _ := strings.Cut(rest, loadSeparator)
-	load := balance.Load{Wait: milliseconds(wait), Run: milliseconds(run), Link: milliseconds(link), Closed: milliseconds(closed), Rejects: shareOf(rejects)}
+	load := balance.Load{Wait: milliseconds(wait), Run: milliseconds(run), Link: milliseconds(link), Closed: milliseconds(closed), Rejects: parsePercent(rejects)}
 	var err error
 	if load.Busy, err = strconv.Atoi(busy); err != nil || !found {
 		return balance.Load{}, false
@@ -80,7 +82,7 @@
 	return load, true
 }
 
-// milliseconds reads a count of them, 0 when it is none.
+// milliseconds parses a number of milliseconds, or returns 0 if the text is not a number.
 func milliseconds(text string) time.Duration {
 	count, _ := strconv.ParseInt(text, 10, 64)
 	return time.Duration(count) * time.Millisecond
--- a/internal/traffic/load_test.go
+++ b/internal/traffic/load_test.go
@@ -10,27 +10,27 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// What a node tells of its worker's load is read as it was told.
-func TestLoadIsReadAsTold(t *testing.T) {
+// A load must be decoded as it was encoded.
+func TestLoadEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(0, 1000)
 		duration := func(name string) time.Duration {
 			return time.Duration(count.Draw(t, name)) * time.Millisecond
 		}
-		told := balance.Load{
+		sent := balance.Load{
 			Busy: count.Draw(t, "busy"), Slots: count.Draw(t, "slots"), Queued: count.Draw(t, "queued"),
 			Wait: duration("wait"), Run: duration("run"), Link: duration("link"), Closed: duration("closed"),
 			Rejects: float64(rapid.IntRange(0, percent).Draw(t, "rejects")) / percent,
 		}
-		read, sound := parseLoad(encodeLoad(told))
-		must.True(t, sound)
-		must.Eq(t, told, read)
+		decoded, valid := parseLoad(encodeLoad(sent))
+		must.True(t, valid)
+		must.Eq(t, sent, decoded)
 	})
 }
 
-func TestBadLoadIsNotRead(t *testing.T) {
+func TestInvalidLoadIsRejected(t *testing.T) {
 	for _, text := range []string{"", "1", "1/2", "a/2/3", "1/b/3", "1/2/c"} {
-		_, sound := parseLoad(text)
-		must.False(t, sound, must.Sprint(text))
+		_, valid := parseLoad(text)
+		must.False(t, valid, must.Sprint(text))
 	}
 }
--- a/internal/traffic/nested.go
+++ b/internal/traffic/nested.go
@@ -9,75 +9,76 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// nestedCalls is what a node knows of the calls that its worker makes while it runs
-// requests. Calls name no run, so a node goes by routes and times: the nodes beside called
-// workers tell which routes only other services call.
+// nestedCalls tracks the calls that the local worker makes while it runs requests. Calls do not
+// name the request that they belong to, so they are recognized by route and time: the nodes of
+// the called workers report which routes only other services call. It is safe for concurrent
+// use.
 type nestedCalls struct {
-	mutex  sync.Mutex
-	routes map[string]time.Time // when a node said last that only runs call it
-	failed time.Time            // when the last call failed for good
-	runs   float64              // of the worker
-	calls  map[string]float64   // that these made, by service
+	mutex       sync.Mutex
+	internalAt  map[string]time.Time // by name: when a node last reported that only other services call it
+	lastFailure time.Time            // when a call last failed permanently
+	runs        float64              // requests run by the worker
+	calls       map[string]float64   // made by these runs, by called service
 }
 
-// mostRunsCounted is how many runs are counted before all counts are halved, so that older
-// ones fade.
-const mostRunsCounted = 400
+// maxRunCount is the number of runs at which all counts are halved, so that older runs lose
+// weight.
+const maxRunCount = 400
 
-// internalFor is how long a node's word counts that only runs call a route.
-const internalFor = 10 * time.Second
+// internalRetention is how long a node's report that a route is internal stays valid.
+const internalRetention = 10 * time.Second
 
 func newNestedCalls() *nestedCalls {
-	return &nestedCalls{routes: map[string]time.Time{}, calls: map[string]float64{}}
+	return &nestedCalls{internalAt: map[string]time.Time{}, calls: map[string]float64{}}
 }
 
-// learn takes in what a node said of a route.
+// learn records the time of a node's report that a route is internal; other reports are ignored.
 func (n *nestedCalls) learn(route string, internal bool, now time.Time) {
 	if !internal {
 		return
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if len(n.routes) >= mostCallsRoutes {
-		clear(n.routes)
+	if len(n.internalAt) >= maxTrackedRoutes {
+		clear(n.internalAt)
 	}
-	n.routes[route] = now
+	n.internalAt[route] = now
 }
 
-// internal reports whether only runs call a route, as far as is known.
+// internal reports whether a route was reported as internal within internalRetention.
 func (n *nestedCalls) internal(route string, now time.Time) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	told, found := n.routes[route]
-	return found && now.Sub(told) < internalFor
+	reported, found := n.internalAt[route]
+	return found && now.Sub(reported) < internalRetention
 }
 
-// ended notes a call that has ended with a status.
+// ended records the final status of a call; statuses from 500 are failures.
 func (n *nestedCalls) ended(status int, now time.Time) {
 	if status < http.StatusInternalServerError {
 		return
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.failed = now
+	n.lastFailure = now
 }
 
-// called counts a call for a service.
+// called counts a call to a service.
 func (n *nestedCalls) called(service string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if len(n.calls) >= mostCallsRoutes {
+	if len(n.calls) >= maxTrackedRoutes {
 		clear(n.calls)
 	}
 	n.calls[service]++
 }
 
-// ran counts a run of the worker.
+// ran counts a request run by the worker.
 func (n *nestedCalls) ran() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.runs++
-	if n.runs < mostRunsCounted {
+	if n.runs < maxRunCount {
 		return
 	}
 	n.runs /= 2
@@ -86,7 +87,7 @@
 	}
 }
 
-// callsOfRun returns how many calls a run makes on average, by service.
+// callsOfRun returns the average number of calls per run, by called service.
 func (n *nestedCalls) callsOfRun() map[string]float64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -97,8 +98,8 @@
 	return made
 }
 
-// countRun counts a run that begins at the worker. Calls of a run that is itself a repeat are
-// repeats at the services that it calls: they are charged to this node's budgets.
+// countRun counts a run that begins at the worker. The calls of a retried run are retries at the
+// services that it calls, so they are charged to this node's retry budgets.
 func (in *Inbound) countRun(x *exchange) {
 	in.nested.ran()
 	if !x.repeat || in.charge == nil {
@@ -109,17 +110,17 @@
 	}
 }
 
-// failedSince reports whether a call has failed for good since a time.
+// failedSince reports whether a call has failed permanently at or after a time.
 func (n *nestedCalls) failedSince(began time.Time) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return !n.failed.Before(began)
+	return !n.lastFailure.Before(began)
 }
 
-// markNested notes on a worker's failure whether calls that the worker made meanwhile had
-// failed. Then a repeat of the run would make its calls once more, at a service that turns
-// calls away: each costs that service a repeat of its own, and the run's work is lost again.
-func (in *Inbound) markNested(x *exchange, got *answer, began time.Time) {
+// markNestedFailure marks a worker's failure if calls that the worker made during the run had
+// failed. A retry of such a run would repeat its calls at a service that rejects them: each
+// call costs that service a retry of its own, and the work of the run is lost again.
+func (in *Inbound) markNestedFailure(x *exchange, got *answer, began time.Time) {
 	if got.response.StatusCode < http.StatusInternalServerError {
 		return
 	}
@@ -127,8 +128,8 @@
 	got.callFailed = x.callFailed
 }
 
-// noteRejection takes in whether the worker rejected a request that reached it.
-func (in *Inbound) noteRejection(failure *result) {
+// recordRejection records whether the worker rejected a request that reached it.
+func (in *Inbound) recordRejection(failure *result) {
 	if failure != nil && !failure.rejected {
 		return
 	}
@@ -138,8 +139,8 @@
 	a.rejects.Note(failure != nil, time.Now())
 }
 
-// lastChance reports whether nobody sends the request again if it is refused: it is a call
-// of a run, which waits for it, or its caller has been turned away before.
+// lastChance reports whether the request will not be retried if it is refused: either a running
+// request waits for it as one of its calls, or an earlier attempt of its caller has failed.
 func (out *Outbound) lastChance(x *exchange) bool {
 	now := time.Now()
 	if out.nested.internal(x.route.Name, now) {
@@ -149,12 +150,12 @@
 	if !out.turned.any(now) {
 		return false
 	}
-	how, returned := out.turned.find(x.fingerprint(), now)
-	x.class.returned, x.class.unlikely = returned, how.callsFailed
+	failure, returned := out.turned.find(x.fingerprint(), now)
+	x.class.returned, x.class.unlikely = returned, failure.callsFailed
 	return returned
 }
 
-// noteEnd takes in how a request ended here.
+// noteEnd records how a request to a service ended at this node.
 func (out *Outbound) noteEnd(x *exchange, service string, ended *result) {
 	now := time.Now()
 	if out.local != nil && x.callOfRun {
@@ -162,12 +163,12 @@
 		out.local.nested.called(service)
 	}
 	if ended.status >= http.StatusInternalServerError && !x.lastChance {
-		out.turned.note(x.fingerprint(), turn{callsFailed: x.callFailed}, now)
+		out.turned.record(x.fingerprint(), failureInfo{callsFailed: x.callFailed}, now)
 	}
 }
 
-// isRejection reports whether a worker with free slots rejected the request: going on, or
-// coming back at once, is as good as later.
+// isRejection reports whether a worker with free slots rejected the request. Trying another
+// endpoint, or retrying at once, is then as likely to succeed as a later retry.
 func isRejection(failure *result, load balance.Load) bool {
 	return failure != nil && failure.outcome == outcome.NotRun && failure.rejected && load.Busy < load.Slots
 }
--- a/internal/traffic/nested_calls_test.go
+++ b/internal/traffic/nested_calls_test.go
@@ -15,9 +15,10 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// A worker that rejects half with free slots is no failing endpoint: nodes backed off from
-// each such worker for up to ten seconds, and went to other regions for the next.
-func TestRejectingWorkerIsNotBlamed(t *testing.T) {
+// A worker that rejects every other request although it has free slots must not count as a failing
+// endpoint. Otherwise nodes backed off from each such worker for up to ten seconds and sent
+// requests to other regions.
+func TestRejectionIsNotAnEndpointFailure(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	m.publish(func(route *snapshot.Route) { route.MaxAttempts = 1 })
 	for range 4 {
@@ -25,24 +26,24 @@
 		response, _, err := m.call("POST", "/order/", "cards")
 		must.NoError(t, err)
 		must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
-		must.Eq(t, "0.020", response.Header.Get("Retry-After")) // free slots: at once
+		must.Eq(t, "0.020", response.Header.Get("Retry-After")) // immediately, since slots are free
 		response, _, err = m.call("POST", "/order/", "cards")
 		must.NoError(t, err)
 		must.Eq(t, http.StatusOK, response.StatusCode)
 	}
 }
 
-// A worker that says that it is another instance is blamed as before.
-func TestMisdirectedAnswerIsNoRejection(t *testing.T) {
+// A worker that responds that it is another instance counts as a failed endpoint.
+func TestMisdirectedResponseIsAnEndpointFailure(t *testing.T) {
 	misdirected := &result{cause: causeRefused, arrived: true}
-	seen := balance.Observation{Loaded: true, Load: balance.Load{Busy: 0, Slots: 2}}
-	must.True(t, blamesNode(misdirected, seen))
-	must.False(t, blamesNode(&result{cause: causeRefused, arrived: true, rejected: true}, seen))
+	observation := balance.Observation{Loaded: true, Load: balance.Load{Busy: 0, Slots: 2}}
+	must.True(t, blamesNode(misdirected, observation))
+	must.False(t, blamesNode(&result{cause: causeRefused, arrived: true, rejected: true}, observation))
 }
 
-// A run whose calls have failed is not repeated by the mesh: its calls would be made again
-// where they are turned away. One that failed by itself is.
-func TestRunWhoseCallsFailedIsNotRepeated(t *testing.T) {
+// The mesh must not retry a run whose calls have failed, since it would repeat the calls at a
+// service that rejects them. It retries a run that failed by itself.
+func TestRunWithFailedCallsIsNotRetried(t *testing.T) {
 	for _, callFails := range []bool{false, true} {
 		m := newCatalogMesh(t, 2)
 		m.script("wait-error")
@@ -71,8 +72,8 @@
 	}
 }
 
-// A request that was turned away is known when a copy of it comes, under another id.
-func TestCopyOfATurnedAwayRequestIsALastChance(t *testing.T) {
+// A copy of a refused request, under another id, must be recognized.
+func TestCopyOfFailedRequestIsLastAttempt(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	m.publish(func(route *snapshot.Route) { route.MaxAttempts = 1 })
 	out := m.nodes[0].out
@@ -80,72 +81,72 @@
 	m.script("shed")
 	_, _, err := m.call("POST", "/order/", "cards")
 	must.NoError(t, err)
-	must.True(t, out.lastChance(asked("cards", 0)))
-	must.False(t, out.lastChance(asked("letters", 0)))
+	must.True(t, out.lastChance(requestWithBody("cards", 0)))
+	must.False(t, out.lastChance(requestWithBody("letters", 0)))
 }
 
-// What was turned away is forgotten, and bounded.
-func TestTurnedAwayIsForgotten(t *testing.T) {
-	turned, now := newTurnedAway(), time.Unix(1_000_000, 0)
-	for index := range 3 * mostTurnedAway {
-		turned.note(quarantine.Fingerprint{byte(index), byte(index >> 8)}, turn{callsFailed: true}, now)
+// The tracked failures must expire, and their number is bounded.
+func TestRecentFailuresExpire(t *testing.T) {
+	failures, now := newTurnedAway(), time.Unix(1_000_000, 0)
+	for index := range 3 * maxRecentFailures {
+		failures.record(quarantine.Fingerprint{byte(index), byte(index >> 8)}, failureInfo{callsFailed: true}, now)
 	}
-	must.Eq(t, mostTurnedAway, len(turned.recent))
-	how, found := turned.find(quarantine.Fingerprint{}, now.Add(turnedAwayFor))
-	must.True(t, found && how.callsFailed)
-	_, found = turned.find(quarantine.Fingerprint{}, now.Add(2*turnedAwayFor))
+	must.Eq(t, maxRecentFailures, len(failures.recent))
+	failure, found := failures.find(quarantine.Fingerprint{}, now.Add(failureRetention))
+	must.True(t, found && failure.callsFailed)
+	_, found = failures.find(quarantine.Fingerprint{}, now.Add(2*failureRetention))
 	must.False(t, found)
-	must.False(t, turned.any(now.Add(4*turnedAwayFor)))
+	must.False(t, failures.any(now.Add(4*failureRetention)))
 }
 
-// A node's word that only runs call a route counts for a while.
-func TestInternalRoutesAreLearntFromAnswers(t *testing.T) {
+// A node's report that a route is internal is valid for a limited time.
+func TestInternalRouteReportExpires(t *testing.T) {
 	nested, now := newNestedCalls(), time.Unix(1_000_000, 0)
 	nested.learn("price", false, now)
 	must.False(t, nested.internal("price", now))
 	nested.learn("price", true, now)
 	must.True(t, nested.internal("price", now))
-	must.False(t, nested.internal("price", now.Add(internalFor)))
+	must.False(t, nested.internal("price", now.Add(internalRetention)))
 }
 
-// asked is a request with the given body, and with the time that its caller gives it.
-func asked(body string, given time.Duration) *exchange {
+// requestWithBody returns a request with the given body and the given timeout of its caller.
+func requestWithBody(body string, given time.Duration) *exchange {
 	x := &exchange{request: httptest.NewRequest("POST", "/order/", nil), started: time.Now(), given: given, route: &snapshot.Route{}}
 	x.request.Host = "shop.example"
 	x.body.whole = []byte(body)
 	return x
 }
 
-// A caller that comes back is told from a new one, also where many come back, and whatever
-// time it gives: callers of one route give from 0.85 of the deadline to all of it, or tell
-// none, and a first request with little time passed for one that came back.
-func TestReturnsAreKnown(t *testing.T) {
+// Retries must be distinguished from new requests, also when there are many, and whatever their
+// timeouts: callers of one route send from 0.85 of the deadline to all of it, or none, and first
+// requests with short timeouts were mistaken for retries.
+func TestRetriesAreRecognized(t *testing.T) {
 	out := newCatalogMesh(t, 1).nodes[0].out
-	out.turned.turned = time.Now().Add(time.Hour) // nothing is forgotten meanwhile
+	out.turned.rotated = time.Now().Add(time.Hour) // no request expires during the test
 	random := rand.New(rand.NewPCG(1, 2))
 	for index := range 400 {
-		given := time.Duration(random.IntN(300)) * time.Millisecond // 0: not told
-		first := asked(fmt.Sprint("cards ", index), given)
+		given := time.Duration(random.IntN(300)) * time.Millisecond // 0: not sent
+		first := requestWithBody(fmt.Sprint("cards ", index), given)
 		must.False(t, out.lastChance(first))
 		must.False(t, first.class.returned)
 		if random.IntN(10) >= 4 {
 			continue
 		}
 		out.noteEnd(first, "shop", &result{status: http.StatusServiceUnavailable})
-		again := asked(fmt.Sprint("cards ", index), max(0, given-time.Duration(random.IntN(100))*time.Millisecond))
+		again := requestWithBody(fmt.Sprint("cards ", index), max(0, given-time.Duration(random.IntN(100))*time.Millisecond))
 		must.True(t, out.lastChance(again))
 		must.True(t, again.class.returned)
 		must.False(t, again.class.unlikely)
 	}
 }
 
-// A request whose run failed after calls that it needs had is known as such when it comes back.
-func TestRunsThatFailedAreKnown(t *testing.T) {
+// A retry of a request whose run failed because its calls had failed must be recognized as such.
+func TestRetryOfRunWithFailedCallsIsRecognized(t *testing.T) {
 	out := newCatalogMesh(t, 1).nodes[0].out
-	failed := asked("cards", time.Second)
+	failed := requestWithBody("cards", time.Second)
 	failed.callFailed = true
 	out.noteEnd(failed, "shop", &result{status: http.StatusInternalServerError})
-	again := asked("cards", time.Second)
+	again := requestWithBody("cards", time.Second)
 	must.True(t, out.lastChance(again))
 	must.True(t, again.class.unlikely)
 }
--- a/internal/traffic/nested_test.go
+++ b/internal/traffic/nested_test.go
@@ -16,25 +16,25 @@
 	"sliphead/internal/snapshot"
 )
 
-// crowd is a service of workers with three slots, one in each zone, in virtual
-// time. A worker with calls left calls its own service through its own node.
-type crowd struct {
+// nestedService is a service in virtual time with one worker of three slots in each zone. A worker
+// that has calls left to make calls its own service through its own node.
+type nestedService struct {
 	*pipeMesh
-	tries atomic.Int64 // requests sent from node to node
+	attempts atomic.Int64 // requests sent from node to node
 }
 
-func newCrowd(t *testing.T, workers int) *crowd {
-	c := &crowd{pipeMesh: newPipeMesh(t, nil)}
+func newNestedService(t *testing.T, workers int) *nestedService {
+	c := &nestedService{pipeMesh: newPipeMesh(t, nil)}
 	holder := c.out.config.Holder
 	var endpoints []snapshot.Endpoint
 	for index := 1; index <= workers; index++ {
 		name := strconv.Itoa(index)
 		config := Config{Zone: "z" + name, Holder: holder, WorkerAddress: "worker-" + name + ":1", Dial: c.pipes.dial, Logger: quiet(), Limits: Limits{Slots: 3}}
 		in, out := NewInbound(config), NewOutbound(config)
-		counted := func(w http.ResponseWriter, r *http.Request) { c.tries.Add(1); in.ServeHTTP(w, r) }
+		counted := func(w http.ResponseWriter, r *http.Request) { c.attempts.Add(1); in.ServeHTTP(w, r) }
 		c.pipes.serve(t, "in-"+name+":1", NewServer(http.HandlerFunc(counted), config.Limits))
 		c.pipes.serve(t, "out-"+name+":1", NewServer(out, config.Limits))
-		c.pipes.serve(t, config.WorkerAddress, &http.Server{Handler: c.nest("out-" + name + ":1")})
+		c.pipes.serve(t, config.WorkerAddress, &http.Server{Handler: c.nestingWorker("out-" + name + ":1")})
 		t.Cleanup(func() { out.transport.CloseIdleConnections(); in.worker.transport.CloseIdleConnections() })
 		endpoints = append(endpoints, snapshot.Endpoint{Worker: name, Zone: config.Zone, Address: "in-" + name + ":1", Slots: 3, Connections: 130})
 	}
@@ -42,8 +42,8 @@
 	return c
 }
 
-// nest is a worker that passes the calls left on to its node.
-func (c *crowd) nest(node string) http.HandlerFunc {
+// nestingWorker returns the handler of a worker that calls its node while calls are left.
+func (c *nestedService) nestingWorker(node string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		left, _ := strconv.Atoi(r.URL.Query().Get("calls"))
 		if left == 0 {
@@ -64,9 +64,10 @@
 	}
 }
 
-// Calls of one tree fill a worker, some of its slots taken through other
-// nodes, so that no caller's node knows that it is full. The next call goes to
-// another worker. With one call more than slots it is refused at once.
+// Nested calls must not be queued behind the requests that wait for them. The calls of one tree
+// fill a worker, some of whose slots are taken through other nodes, so that no caller's node can
+// see that it is full. The next call then goes to another worker; if there are more calls than
+// slots, the last one is refused immediately.
 func TestNestedCallsDoNotWaitForTheirCallers(t *testing.T) {
 	for _, test := range []struct{ others, levels, status int }{
 		{0, 6, http.StatusOK},
@@ -74,7 +75,7 @@
 		{0, 7, http.StatusServiceUnavailable},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			c := newCrowd(t, 2)
+			c := newNestedService(t, 2)
 			for range test.others {
 				c.occupy("/lookup?run=10s")
 			}
@@ -82,30 +83,30 @@
 			response, _ := c.get(t, fmt.Sprintf("/lookup?calls=%d", test.levels-1))
 			must.Eq(t, test.status, response.StatusCode)
 			must.Zero(t, time.Since(began))
-			time.Sleep(11 * time.Second) // the others have ended
+			time.Sleep(11 * time.Second) // until the other requests have completed
 		})
 	}
 }
 
-// Where all workers are full a request is sent three times at most, then waits,
-// and no retry is spent on it.
-func TestOverloadSendsNoMoreThanThreeTimes(t *testing.T) {
+// When all workers are full, a request is sent at most three times and then queued, without using
+// a retry.
+func TestOverloadLimitsAttemptsToThree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const workers = 5
-		c := newCrowd(t, workers)
+		c := newNestedService(t, workers)
 		for range 3 * workers {
 			c.occupy("/lookup?run=10s")
 		}
-		other := NewOutbound(c.out.config) // knows nothing of what is running
+		other := NewOutbound(c.out.config) // has no load information
 		c.pipes.serve(t, "out:2", NewServer(other, Limits{}))
-		before := c.tries.Load()
+		before := c.attempts.Load()
 		began := time.Now()
 		response, err := c.client.Get("http://out:2/lookup")
 		must.NoError(t, err)
 		_ = response.Body.Close()
 		must.Eq(t, "answered", response.Header.Get(outcome.Header))
 		must.Eq(t, 10*time.Second, time.Since(began))
-		must.Eq(t, 1+mostMoves, c.tries.Load()-before)
+		must.Eq(t, 1+mostMoves, c.attempts.Load()-before)
 		must.Eq(t, defaultRetryBurst, other.retries.tokens)
 		time.Sleep(11 * time.Second)
 		other.transport.CloseIdleConnections()
--- a/internal/traffic/probe.go
+++ b/internal/traffic/probe.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// probe looks whether anything has come on an idle connection without waiting.
+// probe checks without blocking whether an idle connection has received data or was closed.
 type probe struct {
 	conn net.Conn
 	raw  rawProbe
@@ -16,18 +16,18 @@
 	p.raw.prepare(conn)
 }
 
-// quiet reports whether the connection is open and nothing has come on it.
+// quiet reports whether the connection is open and has received no data.
 func (p *probe) quiet() bool {
-	if quiet, known := p.raw.quiet(); known {
-		return quiet
+	if idle, supported := p.raw.isIdle(); supported {
+		return idle
 	}
-	return p.quietByDeadline()
+	return p.isIdleByDeadline()
 }
 
-// quietByDeadline serves connections that are no sockets, such as those of
-// net.Pipe: a read with a deadline in the past tells an end from
-// silence, and sees no data.
-func (p *probe) quietByDeadline() bool {
+// isIdleByDeadline checks connections that are not sockets, such as those of net.Pipe. A read
+// with a deadline in the past distinguishes a closed connection from an open one, but does not
+// detect received data.
+func (p *probe) isIdleByDeadline() bool {
 	if p.conn.SetReadDeadline(time.Unix(1, 0)) != nil {
 		return false
 	}
--- a/internal/traffic/probe_other.go
+++ b/internal/traffic/probe_other.go
@@ -4,8 +4,8 @@
 
 import "net"
 
-// rawProbe knows nothing where sockets cannot be read without waiting.
+// rawProbe supports no connection, since sockets cannot be read without blocking here.
 type rawProbe struct{}
 
-func (rawProbe) prepare(net.Conn)           {}
-func (rawProbe) quiet() (quiet, known bool) { return false, false }
+func (rawProbe) prepare(net.Conn)               {}
+func (rawProbe) isIdle() (idle, supported bool) { return false, false }
--- a/internal/traffic/probe_unix.go
+++ b/internal/traffic/probe_unix.go
@@ -7,10 +7,10 @@
 	"syscall"
 )
 
-// rawProbe reads from a socket, which never waits.
+// rawProbe reads from a non-blocking socket.
 type rawProbe struct {
 	raw    syscall.RawConn
-	read   func(descriptor uintptr) bool // readOnce, made once
+	read   func(descriptor uintptr) bool // readOnce, stored to avoid an allocation for each probe
 	buffer [1]byte
 	err    error
 }
@@ -33,8 +33,8 @@
 	return true
 }
 
-// quiet reports whether nothing has come, not known for what is no socket.
-func (p *rawProbe) quiet() (quiet, known bool) {
+// isIdle reports whether the socket is open and has received no data. It supports sockets only.
+func (p *rawProbe) isIdle() (idle, supported bool) {
 	if p.raw == nil {
 		return false, false
 	}
--- a/internal/traffic/quarantine.go
+++ b/internal/traffic/quarantine.go
@@ -9,50 +9,51 @@
 	"sliphead/internal/snapshot"
 )
 
-// Quarantine knows the requests under which workers have ended, at whatever nodes.
+// Quarantine tracks the requests during which workers of any node have crashed. It is safe for
+// concurrent use.
 type Quarantine interface {
-	// Empty reports whether no request is known: then none is worth a digest.
+	// Empty reports whether no request is tracked, in which case no digest is needed.
 	Empty() bool
-	// Knows reports whether some request with this head is known: only then is the rest
-	// of it worth a digest.
+	// Knows reports whether a request with this head is tracked. Only then is a digest of
+	// the rest of the request needed.
 	Knows(quarantine.Head) bool
-	// Verdict says how a request is to be treated, and for how long.
+	// Verdict returns how a request is to be treated, and for how long.
 	Verdict(quarantine.Fingerprint) (quarantine.Verdict, time.Duration)
-	// WorkerCrashed tells that the local worker ended while it ran requests, one at least. It
-	// returns what is known then of the first one.
+	// WorkerCrashed reports that the local worker terminated while it ran the requests, of
+	// which there is at least one. It returns the new verdict on the first one.
 	WorkerCrashed(ctx context.Context, instance string, requests []quarantine.Fingerprint) quarantine.Verdict
-	// Answered tells that the local worker answered a request that is known.
+	// Answered reports that the local worker responded to a tracked request.
 	Answered(ctx context.Context, request quarantine.Fingerprint, instance string)
 	// BeginTrial reports whether a request on trial may be sent to the local worker now.
 	BeginTrial(ctx context.Context, request quarantine.Fingerprint, instance string) bool
 }
 
-// verdictOn says how a request is to be treated, and for how long. While any request is
-// known, most others cost it the digest of their head alone.
-func verdictOn(known Quarantine, x *exchange) (verdict quarantine.Verdict, fingerprint quarantine.Fingerprint, left time.Duration) {
-	if known == nil || known.Empty() {
+// verdictFor returns how a request is to be treated, and for how long. While requests are
+// tracked, most others need a digest of their head only.
+func verdictFor(tracked Quarantine, x *exchange) (verdict quarantine.Verdict, fingerprint quarantine.Fingerprint, left time.Duration) {
+	if tracked == nil || tracked.Empty() {
 		return verdict, fingerprint, 0
 	}
-	asked := x.asked()
-	if !known.Knows(asked.Head()) {
+	request := x.asked()
+	if !tracked.Knows(request.Head()) {
 		return verdict, fingerprint, 0
 	}
-	fingerprint = asked.Fingerprint()
-	verdict, left = known.Verdict(fingerprint)
+	fingerprint = request.Fingerprint()
+	verdict, left = tracked.Verdict(fingerprint)
 	return verdict, fingerprint, left
 }
 
-// refuseHeld is the refusal of a request that is sent to no worker. Its copies would be
-// refused, too, so its caller is told when the next one may be served.
+// refuseHeld returns the refusal of a request that is sent to no worker. Copies of it would be
+// refused as well, so Retry-After says when the next one may be served.
 func refuseHeld(left time.Duration) result {
 	return refuse(causeQuarantine, left, "mend the request or its service: workers ended each time they ran it, it is sent to none for now")
 }
 
-// keepQuarantined refuses requests that are held, before they are offered to any node. One
-// on trial goes to the owner of its trials alone.
+// keepQuarantined refuses held requests before they are offered to any node. A request on trial
+// is sent to the owner of its trials only.
 func (out *Outbound) keepQuarantined(next stage) stage {
 	return func(x *exchange) result {
-		verdict, fingerprint, left := verdictOn(out.config.Quarantine, x)
+		verdict, fingerprint, left := verdictFor(out.config.Quarantine, x)
 		switch verdict.State {
 		case quarantine.Held:
 			return refuseHeld(left)
@@ -63,9 +64,9 @@
 	}
 }
 
-// heldFor is for how long a request is held yet.
+// heldFor returns for how long a request remains held.
 func (out *Outbound) heldFor(x *exchange) time.Duration {
-	_, _, left := verdictOn(out.config.Quarantine, x)
+	_, _, left := verdictFor(out.config.Quarantine, x)
 	return left
 }
 
@@ -80,8 +81,8 @@
 	return instances
 }
 
-// target is the service that the request is to go to: that of its trial, or the one whose
-// turn it is.
+// target returns the service that the request is sent to: that of its trial owner, or one
+// chosen by the weights of the route.
 func (d *dispatch) target() (snapshot.Target, bool) {
 	if d.x.trialOwner == "" {
 		return d.out.weights.target(d.x.route)
@@ -94,8 +95,8 @@
 	return snapshot.Target{}, false
 }
 
-// onTrial returns the endpoints that a request may be offered to: of one on trial, the
-// owner of its trials.
+// onTrial returns the endpoints that the request may be offered to: only the trial owner for a
+// request on trial, otherwise all.
 func (d *dispatch) onTrial(endpoints []snapshot.Endpoint) []snapshot.Endpoint {
 	if d.x.trialOwner == "" {
 		return endpoints
@@ -108,19 +109,20 @@
 	return nil
 }
 
-// keepQuarantined refuses a request that is held when the worker would get it next: its
-// caller's node may not have heard of that yet, and it may have waited here meanwhile.
-// Repeats that are bounded for one exchange and one node alone let a poison request, sent
-// four times a second, crash 42 workers in 24 s; held by all nodes it crashes three, and
-// all ordinary requests are answered in place of a quarter of them (TestPoisonTrial).
-func (in *Inbound) keepQuarantined(next stage) stage {
+// refuseQuarantined refuses a held request just before it is sent to the worker, since the
+// caller's node may not have received the verdict yet, or the verdict may have changed while the
+// request was queued. With retries bounded per exchange and node only, a poison request sent four
+// times a second crashed 42 workers in 24 s and a quarter of the ordinary requests were served.
+// Held by all nodes, it crashes three workers and all ordinary requests are served
+// (TestPoisonTrial).
+func (in *Inbound) refuseQuarantined(next stage) stage {
 	return func(x *exchange) result {
-		verdict, fingerprint, left := verdictOn(in.config.Quarantine, x)
+		verdict, fingerprint, left := verdictFor(in.config.Quarantine, x)
 		switch verdict.State {
 		case quarantine.Held:
 			return refuseHeld(left)
 		case quarantine.OnTrial:
-			if !in.beginsTrial(x, fingerprint) {
+			if !in.beginTrial(x, fingerprint) {
 				return refuseHeld(leastWait)
 			}
 		}
@@ -128,8 +130,9 @@
 	}
 }
 
-// beginsTrial reports whether the local worker is to run the trial of a request.
-func (in *Inbound) beginsTrial(x *exchange, fingerprint quarantine.Fingerprint) bool {
+// beginTrial reports whether the local worker owns the trials of the request and may run one
+// now.
+func (in *Inbound) beginTrial(x *exchange, fingerprint quarantine.Fingerprint) bool {
 	route := x.view.Route(x.route.Name)
 	if route == nil || quarantine.Owner(fingerprint, instancesOf(x.view, route)) != x.instance {
 		return false
@@ -137,96 +140,98 @@
 	return in.config.Quarantine.BeginTrial(x.context, fingerprint, x.instance)
 }
 
-// tellTimeout bounds how long an answer waits until what the run came to is known: it
-// takes microseconds, but for a node that is about to end.
-const tellTimeout = 100 * time.Millisecond
+// reportTimeout bounds how long a response is delayed while the result of the run is reported to
+// the quarantine. That takes microseconds unless the node is stopping.
+const reportTimeout = 100 * time.Millisecond
 
-// telling is the context for telling the quarantine of a run, whose caller may have left.
-func telling(x *exchange) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.WithoutCancel(x.context), tellTimeout)
+// reportContext returns the context for a report to the quarantine. It is independent of the
+// caller, which may have disconnected.
+func reportContext(x *exchange) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.WithoutCancel(x.context), reportTimeout)
 }
 
-// noteRun tells the quarantine what a run came to: an answer clears the request, and the
-// end of the worker speaks against it.
-func (in *Inbound) noteRun(x *exchange, ended *result) {
+// recordRun reports the result of a run to the quarantine: a response clears the request, and a
+// crash of the worker makes it suspect.
+func (in *Inbound) recordRun(x *exchange, ended *result) {
 	switch {
 	case in.config.Quarantine == nil:
 	case ended.cause == causeNone:
-		in.noteAnswered(x, ended.status)
+		in.recordAnswered(x, ended.status)
 	case ended.cause == causeBroken:
-		ended.crashedBefore = in.noteBroken(x)
+		ended.crashedBefore = in.recordBroken(x)
 	case ended.cause == causeCallerGone || ended.cause == causeDeadline:
-		in.runs.noteAbandoned(pastRun{x.instance, x.fingerprint(), time.Now()})
+		in.runs.recordAbandoned(unfinishedRun{x.instance, x.fingerprint(), time.Now()})
 	case ended.cause == causeConnect:
-		in.noteRefused(x)
+		in.recordConnectRefused(x)
 	}
 }
 
-// noteAnswered clears a request that the worker has answered. An error of the worker's own
-// does not: it may have given up before it came to what ends it.
-func (in *Inbound) noteAnswered(x *exchange, status int) {
+// recordAnswered clears a request that the worker has responded to. A status from 500 does not
+// clear it, since the worker may have failed before the point at which the request crashes it.
+func (in *Inbound) recordAnswered(x *exchange, status int) {
 	if status >= http.StatusInternalServerError {
 		return
 	}
 	if !x.body.present {
-		in.runs.noteAnswered(x.fingerprint(), time.Now())
+		in.runs.recordAnswered(x.fingerprint(), time.Now())
 	}
-	verdict, fingerprint, _ := verdictOn(in.config.Quarantine, x)
+	verdict, fingerprint, _ := verdictFor(in.config.Quarantine, x)
 	if verdict.State != quarantine.Free {
-		ctx, cancel := telling(x)
+		ctx, cancel := reportContext(x)
 		defer cancel()
 		in.config.Quarantine.Answered(ctx, fingerprint, x.instance)
 	}
 }
 
-// noteBroken finds out whether the worker ended under a request, and reports whether it is
-// not the first one that did.
-func (in *Inbound) noteBroken(x *exchange) bool {
+// recordBroken checks whether the worker crashed during a request whose connection broke, and
+// returns whether the request had crashed another worker before.
+func (in *Inbound) recordBroken(x *exchange) bool {
 	now := time.Now()
 	fingerprint := x.fingerprint()
 	if in.isLeaving() || in.runs.wasAnswered(fingerprint, now) {
 		return false
 	}
-	if !in.worker.hasEnded(x.context, in.config.WorkerAddress, now) {
-		in.runs.noteBroken(pastRun{x.instance, fingerprint, now})
+	if !in.worker.isDown(x.context, in.config.WorkerAddress, now) {
+		in.runs.recordBroken(unfinishedRun{x.instance, fingerprint, now})
 		return false
 	}
-	suspects := append([]quarantine.Fingerprint{fingerprint}, in.runs.mayStillRun(x.instance, now)...)
-	ctx, cancel := telling(x)
+	suspects := append([]quarantine.Fingerprint{fingerprint}, in.runs.possiblyRunning(x.instance, now)...)
+	ctx, cancel := reportContext(x)
 	defer cancel()
 	verdict := in.config.Quarantine.WorkerCrashed(ctx, x.instance, suspects)
 	return len(verdict.Workers) > 1
 }
 
-// noteRefused looks for requests that the worker ended under although nobody waited for
-// their answers any more: it takes no connection.
-func (in *Inbound) noteRefused(x *exchange) {
+// recordConnectRefused handles a worker that refuses connections: if it has crashed, the abandoned
+// requests that it may still have been running are reported to the quarantine.
+func (in *Inbound) recordConnectRefused(x *exchange) {
 	now := time.Now()
-	suspects := in.runs.mayStillRun(x.instance, now)
-	if len(suspects) == 0 || in.isLeaving() || !in.worker.hasEnded(x.context, in.config.WorkerAddress, now) {
+	suspects := in.runs.possiblyRunning(x.instance, now)
+	if len(suspects) == 0 || in.isLeaving() || !in.worker.isDown(x.context, in.config.WorkerAddress, now) {
 		return
 	}
-	ctx, cancel := telling(x)
+	ctx, cancel := reportContext(x)
 	defer cancel()
 	in.config.Quarantine.WorkerCrashed(ctx, x.instance, suspects)
 }
 
-// isLeaving reports whether the worker has said that it leaves: its end is then no fault
-// of what it ran last.
+// isLeaving reports whether the worker is draining or has announced that it leaves. Its
+// termination is then not attributed to the requests that it ran last.
 func (in *Inbound) isLeaving() bool {
 	view, _ := in.config.Holder.Current(time.Now())
-	return view != nil && (view.Local.Draining || in.saysItLeaves(view.Local.Instance) != leavesNot)
+	return view != nil && (view.Local.Draining || in.saysItLeaves(view.Local.Instance) != notLeaving)
 }
 
-// replaced looks at the requests that broke off at an instance whose place another one has
-// taken: it had ended, and was back before a connection to it was refused.
-func (in *Inbound) replaced(before snapshot.Local) {
-	suspects := in.runs.brokeOff(before.Instance, time.Now())
+// reportReplaced reports a crash of an instance that another one has replaced, if connections of
+// its requests broke recently. The worker then terminated and restarted before any connection
+// to it was refused.
+func (in *Inbound) reportReplaced(before snapshot.Local) {
+	suspects := in.runs.recentlyBroken(before.Instance, time.Now())
 	if in.config.Quarantine == nil || len(suspects) == 0 || before.Draining {
 		return
 	}
-	go func() { // the caller owns other state, and is not to wait for this
-		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+	go func() { // the caller holds the admitter's mutex and must not wait for the report
+		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
 		in.config.Quarantine.WorkerCrashed(ctx, before.Instance, suspects)
 	}()
--- a/internal/traffic/quarantine_test.go
+++ b/internal/traffic/quarantine_test.go
@@ -12,46 +12,46 @@
 	"sliphead/internal/quarantine"
 )
 
-// oneVerdict is a quarantine that knows one verdict, on requests to one path, and notes
-// what it is told. All nodes of a test share it.
-type oneVerdict struct {
+// fakeQuarantine is a quarantine with one verdict, on requests to one path, that records the reports
+// it receives. All nodes of a test share it.
+type fakeQuarantine struct {
 	head quarantine.Head
 
 	mutex    sync.Mutex
 	verdict  quarantine.Verdict
-	trials   []string // instances that began one
+	trials   []string // instances that began a trial
 	crashes  []string // instances that crashed
-	answered []string // instances that answered
+	answered []string // instances that responded
 }
 
-func newOneVerdict(target string, state quarantine.State) *oneVerdict {
-	asked := quarantine.Request{Method: http.MethodGet, Host: "shop.example", Target: target}
-	return &oneVerdict{head: asked.Head(), verdict: quarantine.Verdict{State: state}}
+func newFakeQuarantine(target string, state quarantine.State) *fakeQuarantine {
+	request := quarantine.Request{Method: http.MethodGet, Host: "shop.example", Target: target}
+	return &fakeQuarantine{head: request.Head(), verdict: quarantine.Verdict{State: state}}
 }
 
-func (o *oneVerdict) Empty() bool                     { return false }
-func (o *oneVerdict) Knows(head quarantine.Head) bool { return head == o.head }
+func (o *fakeQuarantine) Empty() bool                     { return false }
+func (o *fakeQuarantine) Knows(head quarantine.Head) bool { return head == o.head }
 
-func (o *oneVerdict) Verdict(quarantine.Fingerprint) (quarantine.Verdict, time.Duration) {
+func (o *fakeQuarantine) Verdict(quarantine.Fingerprint) (quarantine.Verdict, time.Duration) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.verdict, 42 * time.Second
 }
 
-func (o *oneVerdict) WorkerCrashed(_ context.Context, instance string, _ []quarantine.Fingerprint) quarantine.Verdict {
+func (o *fakeQuarantine) WorkerCrashed(_ context.Context, instance string, _ []quarantine.Fingerprint) quarantine.Verdict {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.crashes = append(o.crashes, instance)
 	return quarantine.Verdict{State: quarantine.Suspected, Workers: o.crashes}
 }
 
-func (o *oneVerdict) Answered(_ context.Context, _ quarantine.Fingerprint, instance string) {
+func (o *fakeQuarantine) Answered(_ context.Context, _ quarantine.Fingerprint, instance string) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.answered = append(o.answered, instance)
 }
 
-func (o *oneVerdict) BeginTrial(_ context.Context, _ quarantine.Fingerprint, instance string) bool {
+func (o *fakeQuarantine) BeginTrial(_ context.Context, _ quarantine.Fingerprint, instance string) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.trials = append(o.trials, instance)
@@ -59,30 +59,32 @@
 	return len(o.trials) == 1
 }
 
-// use gives a quarantine to the nodes' handlers of callers, of workers, or of both.
-func (m *catalogMesh) use(callers, workers Quarantine) {
+// setQuarantines sets the quarantines of all nodes' outbound (callers) and inbound (workers)
+// handlers.
+func (m *catalogMesh) setQuarantines(callers, workers Quarantine) {
 	for _, node := range m.nodes {
 		node.out.config.Quarantine = callers
 		node.in.config.Quarantine = workers
 	}
 }
 
-// A held request is refused as not run, with the wait until its trial: by its caller's
-// node, and by the worker's node where the caller's has not heard. Others are served.
+// A held request must be refused with outcome not-run by its caller's node, with the time until its
+// trial as Retry-After, and by the worker's node if the caller's node has not received the verdict.
+// Other requests are served.
 func TestHeldRequestIsRefused(t *testing.T) {
-	for name, callersKnow := range map[string]bool{"caller's node": true, "worker's node": false} {
+	for name, callersInformed := range map[string]bool{"caller's node": true, "worker's node": false} {
 		t.Run(name, func(t *testing.T) {
 			m := newCatalogMesh(t, 3)
-			held := newOneVerdict("/lookup/held", quarantine.Held)
-			m.use(nil, held)
-			if callersKnow {
-				m.use(held, held)
+			held := newFakeQuarantine("/lookup/held", quarantine.Held)
+			m.setQuarantines(nil, held)
+			if callersInformed {
+				m.setQuarantines(held, held)
 			}
 			response, text, err := m.call(http.MethodGet, "/lookup/held", "")
 			must.NoError(t, err)
 			must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
 			must.StrContains(t, text, "not-run")
-			if callersKnow {
+			if callersInformed {
 				must.Eq(t, "42.000", response.Header.Get("Retry-After"))
 			}
 			must.Eq(t, 0, m.runs())
@@ -93,13 +95,13 @@
 	}
 }
 
-// A request on trial runs once, at the owner of its trials, and its answer is told.
+// A request on trial must run once, at the owner of its trials, and its response is reported.
 func TestTrialRunsAtItsOwner(t *testing.T) {
 	m := newCatalogMesh(t, 4)
-	onTrial := newOneVerdict("/lookup/tried", quarantine.OnTrial)
-	m.use(onTrial, onTrial)
-	asked := quarantine.Request{Method: http.MethodGet, Host: "shop.example", Target: "/lookup/tried"}
-	owner := quarantine.Owner(asked.Fingerprint(), []string{"i-0", "i-1", "i-2", "i-3"})
+	onTrial := newFakeQuarantine("/lookup/tried", quarantine.OnTrial)
+	m.setQuarantines(onTrial, onTrial)
+	request := quarantine.Request{Method: http.MethodGet, Host: "shop.example", Target: "/lookup/tried"}
+	owner := quarantine.Owner(request.Fingerprint(), []string{"i-0", "i-1", "i-2", "i-3"})
 	response, text, err := m.call(http.MethodGet, "/lookup/tried", "")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode, must.Sprint(text))
@@ -111,18 +113,18 @@
 	must.Eq(t, 1, m.runs())
 }
 
-// A worker that breaks a run off and takes connections has not crashed; one that refuses
-// them has.
-func TestCrashIsToldFromABrokenRun(t *testing.T) {
+// A worker that closes a connection during a run but accepts new ones has not crashed; one that
+// refuses new connections has.
+func TestCrashIsDistinguishedFromBrokenConnection(t *testing.T) {
 	m := newCatalogMesh(t, 2)
 	m.onlyFirstWorker(0)
-	known := newOneVerdict("/lookup/poison", quarantine.Suspected)
-	m.use(known, known)
+	tracked := newFakeQuarantine("/lookup/poison", quarantine.Suspected)
+	m.setQuarantines(tracked, tracked)
 	first := m.nodes[0].worker
 	m.script("close")
 	_, _, err := m.call(http.MethodGet, "/lookup/1", "")
 	must.NoError(t, err)
-	must.SliceEmpty(t, known.crashes)
+	must.SliceEmpty(t, tracked.crashes)
 
 	m.script()
 	response, _, err := m.call(http.MethodGet, "/lookup/2", "") // leaves a connection open
@@ -133,5 +135,5 @@
 	response, _, err = m.call(http.MethodGet, "/lookup/poison", "")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusBadGateway, response.StatusCode)
-	must.Eq(t, []string{"i-0"}, known.crashes)
+	must.Eq(t, []string{"i-0"}, tracked.crashes)
 }
--- a/internal/traffic/quota.go
+++ b/internal/traffic/quota.go
@@ -9,19 +9,20 @@
 	"sliphead/internal/outcome"
 )
 
-// Quotas holds each tenant to the requests that it may make over the whole mesh.
+// Quotas limits the request rate of each tenant over the whole mesh. It is safe for concurrent
+// use.
 type Quotas interface {
-	// Take takes one request from what a tenant may make. It may ask other nodes, until
-	// ctx ends at the latest. Without room it reports false, and after how long there
-	// may be some.
+	// Take takes one request from the tenant's quota. It may query other nodes, until ctx
+	// ends at the latest. If the quota is exhausted it returns false and the time after
+	// which some may be available.
 	Take(ctx context.Context, tenant *catalog.Tenant) (taken bool, retryAfter time.Duration)
-	// GiveBack returns what a request took that no worker has run or will run.
+	// GiveBack returns the quota taken by a request that no worker has run or will run.
 	GiveBack(tenant *catalog.Tenant)
 }
 
-// keepQuota refuses what goes beyond a tenant's limit. It is the last step before the
-// request is offered to nodes, so that what is refused for other reasons takes nothing;
-// what no worker ran gives back what it took.
+// keepQuota refuses requests beyond a tenant's quota. It is the last step before the request is
+// offered to nodes, so that requests refused for other reasons take no quota. A request that no
+// worker ran returns its quota.
 func (out *Outbound) keepQuota(next stage) stage {
 	return func(x *exchange) result {
 		tenant := x.view.Tenant(x.tenant.name)
@@ -40,7 +41,7 @@
 	}
 }
 
-// refuseQuota is the refusal of a request beyond its tenant's limit.
+// refuseQuota returns the refusal of a request beyond its tenant's quota.
 func refuseQuota(retryAfter time.Duration) result {
 	return result{
 		outcome:    outcome.NotRun,
--- a/internal/traffic/server.go
+++ b/internal/traffic/server.go
@@ -7,8 +7,9 @@
 	"sliphead/internal/httpserver"
 )
 
-// NewServer returns a server with the limits on headers and idle connections.
-// The time for a body is bounded by the route's deadline and BodyTimeout.
+// NewServer returns a server that enforces the header and idle-connection limits;
+// zero limits take their defaults. The time to read a body is bounded by the route's
+// deadline and Limits.BodyTimeout.
 func NewServer(handler http.Handler, limits Limits) *httpserver.Server {
 	limits = limits.withDefaults()
 	return &httpserver.Server{
@@ -19,8 +20,8 @@
 	}
 }
 
-// RefuseBehind is the answer to a request that comes on a connection which this node is about
-// to close: it has not run.
+// RefuseBehind responds with outcome not-run to a request that arrived on a connection which
+// this node is about to close.
 func (out *Outbound) RefuseBehind(writer http.ResponseWriter, request *http.Request) {
 	x := out.begin(writer, request)
 	x.closing = true
@@ -29,8 +30,9 @@
 	out.metrics.conclude(x, refused)
 }
 
-// MayRunAhead reports whether a request may run while others that came before it
-// on its connection do: its route is declared to be repeatable.
+// MayRunAhead reports whether a request may run concurrently with earlier requests on the
+// same connection, which is the case when its route is declared repeatable. It returns false
+// while the node has no valid configuration.
 func (out *Outbound) MayRunAhead(request *http.Request) bool {
 	view, current := out.config.Holder.Current(time.Now())
 	if !current {
--- a/internal/traffic/tenant.go
+++ b/internal/traffic/tenant.go
@@ -12,27 +12,27 @@
 	"sliphead/internal/snapshot"
 )
 
-// Of the header in which a caller gives its tenant's key.
+// Name and scheme of the header in which a caller sends its tenant's key.
 const (
 	keyHeader = "Authorization"
 	keyScheme = "Bearer"
 )
 
-// credential says on whose account a request runs. The node that took the request finds
-// the tenant by the caller's key; the worker's node believes it, unless it knows of a later
-// configuration without that key. The key itself stays at the first node.
+// credential identifies the tenant of a request. The node that accepts the request finds the
+// tenant by the caller's key. The worker's node trusts it, unless it has a later configuration
+// without that key. The key itself is not passed on by the first node.
 type credential struct {
-	name    string // of the tenant; "": none
-	tag     string // of the key
-	version uint64 // of the configuration that knew the key
+	name    string // name of the tenant; "": none
+	tag     string // tag of the key
+	version uint64 // revision of the configuration in which the key was found
 }
 
-// credentialSeparator is escaped in names.
+// credentialSeparator separates the encoded fields; it is escaped in names.
 const credentialSeparator = ","
 
 const versionBase = 36
 
-// encode returns the fields, joined, "" for no tenant.
+// encode returns the joined fields, or "" for no tenant.
 func (c credential) encode() string {
 	if c.name == "" {
 		return ""
@@ -40,7 +40,7 @@
 	return strings.Join([]string{url.PathEscape(c.name), c.tag, strconv.FormatUint(c.version, versionBase)}, credentialSeparator)
 }
 
-// decodeCredential reads what encode wrote.
+// decodeCredential decodes the output of encode. It returns false if the text is invalid.
 func decodeCredential(text string) (credential, bool) {
 	if text == "" {
 		return credential{}, true
@@ -55,8 +55,9 @@
 	return credential{name: name, tag: split[1], version: version}, nameErr == nil && versionErr == nil && name != ""
 }
 
-// asOf returns the credential as a view of a later configuration knows it: a key may have
-// moved to another tenant since. One that no tenant holds any more stays as it is.
+// asOf returns the credential according to a view: if the view is of a later configuration, the
+// key may have moved to another tenant since. A key that no tenant has any more leaves the
+// credential unchanged.
 func (c credential) asOf(view *snapshot.View) credential {
 	if c.name == "" || view.Version.Revision <= c.version {
 		return c
@@ -68,24 +69,24 @@
 	return credential{name: tenant.Name, tag: c.tag, version: view.Version.Revision}
 }
 
-// withdrawnBy reports whether a view is of a later configuration than the one that knew the
-// key, and one in which the tenant no longer holds it.
+// withdrawnBy reports whether a view is of a later configuration than the one in which the key
+// was found, and the tenant no longer has the key in it.
 func (c credential) withdrawnBy(view *snapshot.View) bool {
 	if c.name == "" || !view.HasTenants() || view.Version.Revision <= c.version {
 		return false
 	}
 	tenant := view.Tenant(c.name)
-	return tenant == nil || !slices.ContainsFunc(tenant.Keys, func(held catalog.KeyDigest) bool { return held.Tag() == c.tag })
+	return tenant == nil || !slices.ContainsFunc(tenant.Keys, func(digest catalog.KeyDigest) bool { return digest.Tag() == c.tag })
 }
 
-// authenticate finds the tenant whose key the caller gave. The key goes no further than
-// this: the request's header loses it here.
+// authenticate identifies the tenant by the caller's key, and removes the key from the request's
+// header so that it is not passed on.
 func (out *Outbound) authenticate(next stage) stage {
 	return func(x *exchange) result {
 		if !x.view.HasTenants() {
 			return next(x)
 		}
-		if key, given := takeKey(x.request.Header); given {
+		if key, given := extractKey(x.request.Header); given {
 			x.identify(key)
 		}
 		if refused := out.refuseCaller(x); refused != nil {
@@ -95,7 +96,7 @@
 	}
 }
 
-// identify notes the tenant that holds the key, if there is one.
+// identify sets the tenant that has the key, if there is one.
 func (x *exchange) identify(key catalog.KeyDigest) {
 	tenant := x.view.TenantOf(key)
 	if tenant == nil {
@@ -105,32 +106,32 @@
 	x.class.tenant = tenant.Priority
 }
 
-// refuseCaller refuses a request whose route needs a key and whose caller gave none that a
-// tenant holds, nil if it may go on. A caller does not repeat what is answered 401, so a
-// node that may not have heard of the key yet has the request sent again instead.
+// refuseCaller refuses a request whose route requires a key and whose caller sent none that a
+// tenant has. It returns nil if the request may continue. Callers do not retry after a 401, so a
+// node that may not have received the key yet asks for a retry instead.
 func (out *Outbound) refuseCaller(x *exchange) *result {
 	if x.route.Public {
 		return nil
 	}
-	known := x.tenant.name != ""
-	if known && out.config.Limits.KeysFailClosed <= 0 {
+	identified := x.tenant.name != ""
+	if identified && out.config.Limits.KeysFailClosed <= 0 {
 		return nil
 	}
 	x.knowledgeAge = out.config.knowledgeAge()
 	switch {
 	case isOlder(x.knowledgeAge, out.config.Limits.KeysFailClosed):
 		return refuseStaleKeys()
-	case !known:
+	case !identified:
 		return out.config.rejectCaller(x)
 	default:
 		return nil
 	}
 }
 
-// isOlder reports whether an age is beyond a bound; 0 is no bound.
+// isOlder reports whether an age exceeds a bound; a bound of 0 means none.
 func isOlder(age, bound time.Duration) bool { return bound > 0 && age > bound }
 
-// knowledgeAge is how long ago this node was last known to hold the newest configuration.
+// knowledgeAge returns how long ago this node was last known to have the latest configuration.
 func (c *Config) knowledgeAge() time.Duration {
 	if c.KnowledgeAge == nil {
 		return 0
@@ -138,8 +139,8 @@
 	return c.KnowledgeAge()
 }
 
-// rejectCaller refuses a request whose key no tenant holds, as far as this node knows: for
-// good, or, if it may not have heard of the key yet, until it has.
+// rejectCaller refuses a request whose key no tenant has in this node's configuration. The
+// rejection is final, unless the configuration is so old that the key may have been added since.
 func (c *Config) rejectCaller(x *exchange) *result {
 	x.knowledgeAge = c.knowledgeAge()
 	if isOlder(x.knowledgeAge, c.Limits.KeysInForce) {
@@ -149,8 +150,9 @@
 	return &refused
 }
 
-// recheckCaller refuses a request whose key was withdrawn since the last look, before it
-// is offered to a node, nil if it may go on. On a public route it goes on without a tenant.
+// recheckCaller refuses a request whose key was withdrawn since the last check, before the
+// request is offered to a node. It returns nil if the request may continue. On a public route it
+// continues without a tenant.
 func (out *Outbound) recheckCaller(x *exchange) *result {
 	if x.tenant.name == "" {
 		return nil
@@ -163,8 +165,8 @@
 	return out.refuseCaller(x)
 }
 
-// loseTenant is what becomes of a request whose key was withdrawn: its route, nil if it is
-// not known, may take callers without one.
+// loseTenant removes the tenant from a request whose key was withdrawn if its route is public,
+// and otherwise returns the refusal. The route is nil if it is unknown.
 func (c *Config) loseTenant(x *exchange, route *snapshot.Route) *result {
 	if route == nil || !route.Public {
 		return c.rejectCaller(x)
@@ -173,9 +175,9 @@
 	return nil
 }
 
-// takeKey removes the caller's key from a request and returns its digest, false when
-// there is none, or more than one.
-func takeKey(header http.Header) (catalog.KeyDigest, bool) {
+// extractKey removes the caller's key from a request's header and returns its digest. It returns
+// false if there is no key, or more than one.
+func extractKey(header http.Header) (catalog.KeyDigest, bool) {
 	values := header[keyHeader]
 	delete(header, keyHeader)
 	if len(values) != 1 {
@@ -189,14 +191,14 @@
 	return catalog.DigestKey(key), true
 }
 
-// refuseStaleKeys is the refusal of a node whose knowledge of keys is too old to be gone by.
+// refuseStaleKeys returns the refusal of a node whose set of keys is too old to decide by.
 func refuseStaleKeys() *result {
 	refused := refuse(causeStaleKeys, 0, "send it again, this node has not heard lately which keys are in force")
 	refused.retryAfter = knowledgeWait
 	return &refused
 }
 
-// rejectKey is the answer to a caller who gave no key that a tenant holds.
+// rejectKey returns the final rejection of a caller that sent no key of a tenant.
 func rejectKey() result {
 	return reject(http.StatusUnauthorized, causeKey, "send the key of a tenant, this one is not known or was withdrawn")
 }
--- a/internal/traffic/tenant_test.go
+++ b/internal/traffic/tenant_test.go
@@ -13,7 +13,7 @@
 	"sliphead/internal/snapshot"
 )
 
-// The key and the tenant of the tests.
+// Key and name of the tenant in the tests.
 const (
 	pressKey = "k-press-1"
 	press    = "press"
@@ -23,17 +23,17 @@
 	return []catalog.Tenant{{Name: press, Keys: []catalog.KeyDigest{catalog.DigestKey(pressKey)}, RatePerSecond: 100, Burst: 100}}
 }
 
-// publishTenants gives a node a new version of its view, with tenants.
+// publishTenants gives a node a new revision of its view with the given tenants.
 func (m *catalogMesh) publishTenants(node int, revision uint64, tenants []catalog.Tenant) {
-	held, _ := m.nodes[node].holder.Current(time.Now())
-	view := *held
+	current, _ := m.nodes[node].holder.Current(time.Now())
+	view := *current
 	view.Version.Revision = revision
 	view.SetTenants(tenants)
 	m.nodes[node].holder.Store(&view)
 }
 
-// newTenantMesh starts two nodes that know the tenant; the first offers its requests to
-// the other's worker alone, so that they take the way between nodes.
+// newTenantMesh starts two nodes that have the tenant. The first one offers its requests to the
+// second one's worker only, so that they pass between nodes.
 func newTenantMesh(t *testing.T, change func(*snapshot.Route)) *catalogMesh {
 	m := newCatalogMesh(t, 2)
 	m.publish(func(route *snapshot.Route) {
@@ -48,9 +48,9 @@
 	return m
 }
 
-// The worker is told the tenant of the caller's key, whatever the caller says, and is never
-// shown the key.
-func TestWorkerIsToldTheTenant(t *testing.T) {
+// The worker must receive the tenant of the caller's key, whatever tenant the caller claims, and
+// must not receive the key.
+func TestWorkerReceivesTenantButNoKey(t *testing.T) {
 	m := newTenantMesh(t, nil)
 	response, _, err := m.call(http.MethodPost, "/order/1", "x", "Authorization", "Bearer "+pressKey, testProtocol.Tenant, "other")
 	must.NoError(t, err)
@@ -60,8 +60,8 @@
 	must.Eq(t, "", got.Header.Get("Authorization"))
 }
 
-// Without a key that a tenant holds a request runs nowhere, but on public routes.
-func TestUnknownKeys(t *testing.T) {
+// A request without a key of a tenant must not run, except on a public route.
+func TestUnknownKeyIsRejected(t *testing.T) {
 	for _, headers := range [][]string{
 		{}, {"Authorization", "Bearer other"}, {"Authorization", "Basic " + pressKey}, {"Authorization", "Bearer"}, {"Authorization", pressKey},
 	} {
@@ -82,8 +82,8 @@
 	}
 }
 
-// Where there are no tenants, a caller's Authorization is the worker's business.
-func TestAuthorizationWithoutTenants(t *testing.T) {
+// Without tenants a caller's Authorization header is passed on to the worker.
+func TestAuthorizationIsForwardedWithoutTenants(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	response, _, err := m.call(http.MethodGet, "/lookup/1", "", "Authorization", "Bearer own")
 	must.NoError(t, err)
@@ -92,9 +92,9 @@
 	must.Eq(t, "Bearer own", got.Header.Get("Authorization"))
 }
 
-// A worker's node that knows of a later configuration, without the key, has the request
-// rejected; one that is behind believes the node that took it.
-func TestWithdrawnKeyAtTheWorkersNode(t *testing.T) {
+// A worker's node with a later configuration that lacks the key rejects the request. One with an
+// earlier configuration trusts the node that accepted the request.
+func TestKeyWithdrawnAtWorkersNode(t *testing.T) {
 	m := newTenantMesh(t, nil)
 	m.publishTenants(1, 2, []catalog.Tenant{})
 	response, _, err := m.call(http.MethodPost, "/order/1", "x", "Authorization", "Bearer "+pressKey)
@@ -108,8 +108,8 @@
 	must.Eq(t, http.StatusOK, response.StatusCode)
 }
 
-// A key that a later configuration gives to another tenant is that tenant's at the worker's
-// node, and no reason to reject the request: all configurations hold it.
+// A key that a later configuration assigns to another tenant identifies that tenant at the worker's
+// node. The request is not rejected, since the key is valid in all configurations.
 func TestKeyMovesToAnotherTenant(t *testing.T) {
 	m := newTenantMesh(t, nil)
 	moved := pressTenant()
@@ -122,7 +122,7 @@
 	must.Eq(t, "till", got.Header.Get(testProtocol.Tenant))
 }
 
-// fixedQuota lets a number of requests pass.
+// fixedQuota grants a fixed number of requests.
 type fixedQuota struct {
 	mutex sync.Mutex
 	left  int
@@ -141,9 +141,9 @@
 	q.left++
 }
 
-// What goes beyond a tenant's limit is refused as not run, with when to come back; what no
-// worker ran gives back what it took.
-func TestTenantsLimit(t *testing.T) {
+// Requests beyond a tenant's quota must be refused with outcome not-run and Retry-After, and a
+// request that no worker ran must return its quota.
+func TestTenantQuota(t *testing.T) {
 	m := newTenantMesh(t, nil)
 	quota := &fixedQuota{left: 2}
 	m.nodes[0].out.config.Quotas = quota
--- a/internal/traffic/worker.go
+++ b/internal/traffic/worker.go
@@ -11,21 +11,22 @@
 	"sliphead/internal/snapshot"
 )
 
-// workerLink holds the connections to the local worker, within its bound.
+// workerLink manages the connections to the local worker, up to their maximum number. It is safe
+// for concurrent use.
 type workerLink struct {
-	dial      DialFunc
-	mutex     sync.Mutex
-	bounded   int // connections in all
-	pool      *pool
-	transport *http.Transport // for what the pool does not carry
+	dial           DialFunc
+	mutex          sync.Mutex
+	maxConnections int // pool and transport together
+	pool           *pool
+	transport      *http.Transport // for requests that the pool does not support
 
-	checking sync.Mutex // held while the worker is asked for a connection
-	checked  time.Time  // when it was asked last
-	ended    bool       // whether it refused one then
+	checkMutex sync.Mutex // held while a connection is opened to check the worker
+	lastCheck  time.Time  // when the worker was last checked
+	refused    bool       // whether it refused the connection then
 }
 
-// transportShare is the part of the worker's connections that the transport
-// has to itself; one is left to it in any case.
+// transportShare is the inverse of the share of the worker's connections that is reserved for the
+// transport; it gets at least one.
 const transportShare = 4
 
 func newWorkerLink(config Config) *workerLink {
@@ -34,19 +35,19 @@
 	return link
 }
 
-// bound changes the number of connections. Requests in flight end on the
-// connections that they have.
+// bound changes the maximum number of connections. Requests in flight complete on the
+// connections that they use.
 func (l *workerLink) bound(connections int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.bounded == connections {
+	if l.maxConnections == connections {
 		return
 	}
 	if l.transport != nil {
 		l.pool.close()
 		l.transport.CloseIdleConnections()
 	}
-	l.bounded = connections
+	l.maxConnections = connections
 	shared := max(1, connections/transportShare)
 	l.transport = newTransport(l.dial, shared, shared)
 	l.pool = newPool(l.dial, connections-shared, connections-shared)
@@ -58,28 +59,28 @@
 	return l.pool, l.transport
 }
 
-// hasEnded reports whether the worker takes no connections: it has ended, and did not just
-// break one off. Requests that broke off together share one look; a connection that is
-// opened for it serves the next request.
-func (l *workerLink) hasEnded(ctx context.Context, address string, broken time.Time) bool {
-	l.checking.Lock()
-	defer l.checking.Unlock()
-	if l.checked.After(broken) {
-		return l.ended
+// isDown reports whether the worker refuses connections, so that it has terminated rather than
+// just closed one. Requests whose connections broke before the same check share its result. The
+// connection opened by the check is put into the pool for the next request.
+func (l *workerLink) isDown(ctx context.Context, address string, broken time.Time) bool {
+	l.checkMutex.Lock()
+	defer l.checkMutex.Unlock()
+	if l.lastCheck.After(broken) {
+		return l.refused
 	}
-	l.checked = time.Now()
+	l.lastCheck = time.Now()
 	direct, _ := l.connections()
 	conn, err := direct.connect(ctx, address)
 	if err == nil {
 		direct.put(conn)
 	}
-	l.ended = errors.Is(err, syscall.ECONNREFUSED)
-	return l.ended
+	l.refused = errors.Is(err, syscall.ECONNREFUSED)
+	return l.refused
 }
 
-// adjust takes the worker's declared slots and connections from a new view.
-func (in *Inbound) adjust(view *snapshot.View) {
-	if in.seen.Swap(view) == view {
+// adoptCapacity applies the worker's declared slots and connections when the view changes.
+func (in *Inbound) adoptCapacity(view *snapshot.View) {
+	if in.capacityView.Swap(view) == view {
 		return
 	}
 	for _, route := range view.Routes {
--- a/internal/traffic/worker_report.go
+++ b/internal/traffic/worker_report.go
@@ -11,18 +11,18 @@
 	"sliphead/internal/traffic/workerlimit"
 )
 
-// workerReport is what the local worker has said of itself in its answers, and what it was
-// sent meanwhile. It is of one start of the worker.
+// workerReport is what the local worker has reported about itself in its responses, and the
+// requests that it was sent. It belongs to one instance of the worker.
 type workerReport struct {
-	instance   string
-	limit      workerlimit.Limit
-	unreadable bool // whether it has named a limit that can't be read
-	sent       workerlimit.Sent
+	instance     string
+	limit        workerlimit.Limit
+	invalidLimit bool // whether it has reported a limit that cannot be parsed
+	sent         workerlimit.Sent
 }
 
-// serves begins anew with another start of the worker: it has said nothing yet. The mutex is
-// held.
-func (a *admitter) serves(instance string, now time.Time) {
+// resetOnNewInstance discards the report when another instance of the worker has started, which
+// has reported nothing yet. The caller holds the mutex.
+func (a *admitter) resetOnNewInstance(instance string, now time.Time) {
 	if instance == a.report.instance {
 		return
 	}
@@ -33,84 +33,85 @@
 	}
 }
 
-// noteSent counts a request that is sent to the worker.
-func (a *admitter) noteSent(now time.Time) {
+// recordSent counts a request sent to the worker.
+func (a *admitter) recordSent(now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.report.sent.Add(now)
 }
 
-// noteReport learns from an answer of the worker what it says of itself.
+// noteReport records what a response of the worker reports about the worker itself.
 func (in *Inbound) noteReport(x *exchange, response *http.Response) {
-	in.noteLimit(x, response)
+	in.recordLimit(x, response)
 	if in.config.Protocol.saysItLeaves(response.Header) {
-		in.noteLeaving(x.instance)
+		in.recordLeaving(x.instance)
 	}
 }
 
-// noteLeaving takes in that the worker has said it leaves: it is sent nothing more, whatever
-// the store says, and what waits for it goes elsewhere at once.
-func (in *Inbound) noteLeaving(instance string) {
+// recordLeaving records that the worker has announced that it leaves. It is sent no more requests,
+// whatever the store's record says, and queued requests are refused immediately so that they can
+// run at another endpoint.
+func (in *Inbound) recordLeaving(instance string) {
 	view, _ := in.config.Holder.Current(time.Now())
 	if view == nil || view.Local.Instance != instance || in.saysItLeaves(instance) == leavesForGood {
 		return
 	}
-	in.leaving.Store(&leavingWord{instance: instance, id: view.Local.ID, at: time.Now()})
+	in.leaveNotice.Store(&leaveNotice{instance: instance, id: view.Local.ID, at: time.Now()})
 	logging.Event(in.config.Logger, "worker.leaves", logging.Fields{"instance": instance, "recorded": view.Local.Draining})
 	in.LocalChanged()
 }
 
-// leavingWord is the last word of a local worker that it leaves.
-type leavingWord struct {
+// leaveNotice is the latest announcement of a local worker that it leaves.
+type leaveNotice struct {
 	instance string
-	id       string // by which its record names it, the same for several starts
+	id       string // id in its catalog record, the same after a restart
 	at       time.Time
-	until    time.Time // when it counts no more, since it may be of the start before; zero: it is the instance's
+	expires  time.Time // when it becomes invalid, if it may belong to the previous instance; zero: never
 }
 
-// leavingDoubt is for how long the word of a worker that it leaves may be that of its next
-// start under the same id, whose record comes later.
-const leavingDoubt = 6 * time.Second
+// leaveNoticeCarryover is how long after its arrival a notice may still belong to the next
+// instance under the same id, whose catalog record may arrive later than its responses.
+const leaveNoticeCarryover = 6 * time.Second
 
-// leaves says whether an instance has said that it leaves.
-type leaves int
+// leaveState says whether an instance has announced that it leaves.
+type leaveState int
 
 const (
-	leavesNot   leaves = iota
-	leavesMaybe        // it, or its start before under the same id
+	notLeaving  leaveState = iota
+	leavesMaybe            // either it or the previous instance under the same id has
 	leavesForGood
 )
 
-// saysItLeaves says whether an instance has said that it leaves.
-func (in *Inbound) saysItLeaves(instance string) leaves {
-	said := in.leaving.Load()
+// saysItLeaves returns whether an instance has announced that it leaves.
+func (in *Inbound) saysItLeaves(instance string) leaveState {
+	notice := in.leaveNotice.Load()
 	switch {
-	case said == nil || said.instance != instance:
-		return leavesNot
-	case said.until.IsZero():
+	case notice == nil || notice.instance != instance:
+		return notLeaving
+	case notice.expires.IsZero():
 		return leavesForGood
-	case time.Now().Before(said.until):
+	case time.Now().Before(notice.expires):
 		return leavesMaybe
 	default:
-		return leavesNot
+		return notLeaving
 	}
 }
 
-// startedAgain carries the word of a worker that it leaves over to its next start under the
-// same id: it may have been said by that, before its record came.
-func (in *Inbound) startedAgain(local snapshot.Local) {
-	said := in.leaving.Load()
-	if said == nil || said.id != local.ID || said.instance == local.Instance {
+// carryLeaveNotice applies the notice of a worker to the next instance under the same id, for a
+// limited time: that instance may have sent it before its catalog record arrived.
+func (in *Inbound) carryLeaveNotice(local snapshot.Local) {
+	notice := in.leaveNotice.Load()
+	if notice == nil || notice.id != local.ID || notice.instance == local.Instance {
 		return
 	}
-	in.leaving.Store(&leavingWord{instance: local.Instance, id: local.ID, at: said.at, until: said.at.Add(leavingDoubt)})
+	in.leaveNotice.Store(&leaveNotice{instance: local.Instance, id: local.ID, at: notice.at, expires: notice.at.Add(leaveNoticeCarryover)})
 }
 
-// noteLimit learns from an answer of the worker how many requests a second it takes.
-func (in *Inbound) noteLimit(x *exchange, response *http.Response) {
-	said, err := workerlimit.Parse(response.Header[in.config.Protocol.Limit])
+// recordLimit records the limit in requests per second that a response of the worker reports.
+func (in *Inbound) recordLimit(x *exchange, response *http.Response) {
+	limit, err := workerlimit.Parse(response.Header[in.config.Protocol.Limit])
 	if err != nil {
-		in.tellUnreadable(x, err)
+		in.logInvalidLimit(x, err)
 		return
 	}
 	now := time.Now()
@@ -118,76 +119,77 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.report.instance != x.instance {
-		return // an answer of the worker before
+		return // a response of the previous instance
 	}
-	if a.report.limit.Answered(said, x.sent, now) {
+	if a.report.limit.Answered(limit, x.sent, now) {
 		a.applyLimit(now)
-		in.tellLimit(now)
+		in.logLimit(now)
 	}
 }
 
-// tellLimit logs that the worker names another limit, or none any more. The mutex is held.
-func (in *Inbound) tellLimit(now time.Time) {
+// logLimit logs that the worker has changed or removed its limit. The caller holds the mutex.
+func (in *Inbound) logLimit(now time.Time) {
 	report := &in.admitter.report
-	said := report.limit.InForce()
+	limit := report.limit.InForce()
 	fields := logging.Fields{"instance": report.instance, "sent": report.sent.Count(now), "within_ms": workerlimit.SentWindow.Milliseconds()}
-	if !said.Named {
+	if !limit.Named {
 		logging.Event(in.config.Logger, "worker.unlimited", fields)
 		return
 	}
-	fields["limit"] = said.Rate.String()
+	fields["limit"] = limit.Rate.String()
 	fields["since_ms"] = now.Sub(report.limit.Since()).Milliseconds()
 	logging.Event(in.config.Logger, "worker.limited", fields)
 }
 
-// tellUnreadable logs, once for each start of the worker, that it names what is no limit.
-func (in *Inbound) tellUnreadable(x *exchange, err error) {
+// logInvalidLimit logs, once per instance of the worker, that its limit cannot be parsed.
+func (in *Inbound) logInvalidLimit(x *exchange, err error) {
 	report := &in.admitter.report
 	in.admitter.mutex.Lock()
 	defer in.admitter.mutex.Unlock()
-	if report.instance != x.instance || report.unreadable {
+	if report.instance != x.instance || report.invalidLimit {
 		return
 	}
-	report.unreadable = true
+	report.invalidLimit = true
 	logging.Problem(in.config.Logger, "worker.limitUnreadable", err, logging.Fields{"instance": x.instance})
 }
 
-// WorkerLimit is what the local worker allows and was sent.
+// WorkerLimit is the limit that the local worker reports, and the requests that it was sent.
 type WorkerLimit struct {
-	Limited   bool    `json:"limited"`   // whether the worker names a limit
-	PerSecond float64 `json:"perSecond"` // requests that it takes from all nodes together
-	ForS      float64 `json:"forS"`      // since it has first named one
-	Sent      int     `json:"sent"`      // requests in the last seconds: see workerlimit.SentWindow
+	Limited   bool    `json:"limited"`   // whether the worker reports a limit
+	PerSecond float64 `json:"perSecond"` // limit in requests per second, from all nodes together
+	ForS      float64 `json:"forS"`      // seconds since it first reported one
+	Sent      int     `json:"sent"`      // requests within workerlimit.SentWindow
 }
 
-// Limit tells what the local worker allows and was sent.
+// Limit returns the current limit of the local worker and the requests that it was sent. It is
+// safe for concurrent use.
 func (in *Inbound) Limit() WorkerLimit {
 	now := time.Now()
 	a := in.admitter
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	said := a.report.limit.InForce()
-	limit := WorkerLimit{Limited: said.Named, PerSecond: float64(said.Rate), Sent: a.report.sent.Count(now)}
-	if said.Named {
+	reported := a.report.limit.InForce()
+	limit := WorkerLimit{Limited: reported.Named, PerSecond: float64(reported.Rate), Sent: a.report.sent.Count(now)}
+	if reported.Named {
 		limit.ForS = now.Sub(a.report.limit.Since()).Seconds()
 	}
 	return limit
 }
 
-// registerLimit offers what Limit tells as metrics.
+// registerLimit registers the values of Limit as metrics.
 func (in *Inbound) registerLimit() {
 	if in.config.Registerer == nil {
 		return
 	}
-	offer := func(name, help string, read func(WorkerLimit) float64) {
+	register := func(name, help string, read func(WorkerLimit) float64) {
 		in.config.Registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return read(in.Limit()) }))
 	}
-	offer("sliphead_worker_limited", "1 while the local worker names a limit.", func(limit WorkerLimit) float64 {
+	register("sliphead_worker_limited", "1 while the local worker names a limit.", func(limit WorkerLimit) float64 {
 		if limit.Limited {
 			return 1
 		}
 		return 0
 	})
-	offer("sliphead_worker_limit_per_second", "Requests a second that the local worker takes from all nodes together, while it names a limit.", func(limit WorkerLimit) float64 { return limit.PerSecond })
-	offer("sliphead_worker_sent_recently", "Requests that the local worker was sent in the last four seconds.", func(limit WorkerLimit) float64 { return float64(limit.Sent) })
+	register("sliphead_worker_limit_per_second", "Requests a second that the local worker takes from all nodes together, while it names a limit.", func(limit WorkerLimit) float64 { return limit.PerSecond })
+	register("sliphead_worker_sent_recently", "Requests that the local worker was sent in the last four seconds.", func(limit WorkerLimit) float64 { return float64(limit.Sent) })
 }
