--- a/internal/traffic/worker_reports.go
+++ b/internal/traffic/worker_reports.go
@@ -9,76 +9,76 @@
 	"sliphead/internal/traffic/workerlimit"
 )
 
-// workerReports are what a node has heard of workers in the answers that it has passed on to
-// callers. The node beside a worker knows more, unless it has started anew: it is told with
-// requests.
+// workerReports tracks what workers have reported about themselves in the responses that this
+// node has passed on to callers. A worker's own node has more recent reports, unless it has
+// restarted; it therefore receives them with requests. It is safe for concurrent use.
 type workerReports struct {
-	mutex   sync.Mutex
-	limits  map[string]*reportedLimit // by instance, of workers that name one
-	leaving map[string]struct{}       // instances that have said they leave
-	order   []string                  // the same, the latest last
+	mutex        sync.Mutex
+	limits       map[string]*reportedLimit // by instance, of workers that report one
+	leaving      map[string]struct{}       // instances that have announced that they leave
+	leavingOrder []string                  // instances in leaving, the latest last
 }
 
-// reportedLimit is the limit of a worker, and when an answer last told of it.
+// reportedLimit is the limit of a worker, and when a response last reported it.
 type reportedLimit struct {
 	limit workerlimit.Limit
 	at    time.Time
 }
 
 const (
-	// mostReports bounds the workers that are remembered: beyond, limits are learnt anew, and of
-	// those that leave the first ones are forgotten.
-	mostReports = 1024
+	// maxWorkerReports bounds the number of workers that are tracked. Beyond it, all limits are
+	// dropped, and of the leaving instances the oldest one.
+	maxWorkerReports = 1024
 
-	// reportLasts is for how long a limit is told on that no answer has told of since.
-	reportLasts = 10 * time.Second
+	// limitRetention is how long a limit is passed on after the last response that reported it.
+	limitRetention = 10 * time.Second
 )
 
 func newWorkerReports() *workerReports {
 	return &workerReports{limits: map[string]*reportedLimit{}, leaving: map[string]struct{}{}}
 }
 
-// note takes in what a worker's answer says of its limit, to a request that was sent at a
-// time. What can't be read says nothing: the node beside the worker logs it.
-func (r *workerReports) note(instance string, values []string, sent, now time.Time) {
-	told, err := workerlimit.Parse(values)
+// recordLimit records the limit that a worker's response reports; sent is when the request was
+// sent. Invalid values are ignored, since the worker's own node logs them.
+func (r *workerReports) recordLimit(instance string, values []string, sent, now time.Time) {
+	limit, err := workerlimit.Parse(values)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.limits[instance]
-	if err != nil || known == nil && !told.Named {
+	reported := r.limits[instance]
+	if err != nil || reported == nil && !limit.Named {
 		return
 	}
-	if known == nil {
-		if len(r.limits) >= mostReports {
+	if reported == nil {
+		if len(r.limits) >= maxWorkerReports {
 			clear(r.limits)
 		}
-		known = &reportedLimit{}
-		r.limits[instance] = known
+		reported = &reportedLimit{}
+		r.limits[instance] = reported
 	}
-	known.limit.Answered(told, sent, now)
-	known.at = now
-	if !known.limit.InForce().Named {
+	reported.limit.Answered(limit, sent, now)
+	reported.at = now
+	if !reported.limit.InForce().Named {
 		delete(r.limits, instance)
 	}
 }
 
-// noteLeaving takes in that a worker has said it leaves. That holds for good: it is of one
-// start of the worker.
+// noteLeaving records that an instance has announced that it leaves. That is permanent, since
+// instance names are not reused.
 func (r *workerReports) noteLeaving(instance string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if _, known := r.leaving[instance]; known {
+	if _, recorded := r.leaving[instance]; recorded {
 		return
 	}
-	if len(r.order) >= mostReports {
-		delete(r.leaving, r.order[0])
-		r.order = slices.Delete(r.order, 0, 1)
+	if len(r.leavingOrder) >= maxWorkerReports {
+		delete(r.leaving, r.leavingOrder[0])
+		r.leavingOrder = slices.Delete(r.leavingOrder, 0, 1)
 	}
 	r.leaving[instance] = struct{}{}
-	r.order = append(r.order, instance)
+	r.leavingOrder = append(r.leavingOrder, instance)
 }
 
-// staying returns the endpoints whose workers have not said that they leave.
+// staying returns the endpoints whose workers have not announced that they leave.
 func (r *workerReports) staying(endpoints []snapshot.Endpoint) []snapshot.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -86,8 +86,8 @@
 		return endpoints
 	}
 	leaves := func(endpoint snapshot.Endpoint) bool {
-		_, known := r.leaving[endpoint.Worker]
-		return known
+		_, leaving := r.leaving[endpoint.Worker]
+		return leaving
 	}
 	if !slices.ContainsFunc(endpoints, leaves) {
 		return endpoints
@@ -95,22 +95,23 @@
 	return slices.DeleteFunc(slices.Clone(endpoints), leaves)
 }
 
-// limitOf returns the limit of a worker, as far as it was heard.
+// limitOf returns the limit of a worker in requests per second, or false if none was reported
+// within limitRetention.
 func (r *workerReports) limitOf(instance string, now time.Time) (workerlimit.Rate, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.limits[instance]
-	if known == nil || now.Sub(known.at) > reportLasts {
+	reported := r.limits[instance]
+	if reported == nil || now.Sub(reported.at) > limitRetention {
 		return 0, false
 	}
-	return known.limit.InForce().Rate, true
+	return reported.limit.InForce().Rate, true
 }
 
-// noteReport takes in what the answer of a worker says of the worker itself, to a request that
-// was sent at a time.
+// noteReport records what the response of a worker reports about the worker itself; sent is when
+// the request was sent.
 func (out *Outbound) noteReport(instance string, got *answer, sent time.Time) {
 	header, protocol := got.response.Header, &out.config.Protocol
-	out.reports.note(instance, header[protocol.Limit], sent, time.Now())
+	out.reports.recordLimit(instance, header[protocol.Limit], sent, time.Now())
 	if protocol.saysItLeaves(header) {
 		out.reports.noteLeaving(instance)
 	}
--- a/internal/traffic/worker_runs.go
+++ b/internal/traffic/worker_runs.go
@@ -7,44 +7,45 @@
 	"sliphead/internal/quarantine"
 )
 
-// Bounds of what is remembered of runs at the local worker.
+// Bounds of the tracked runs at the local worker.
 const (
-	// abandonedFor is for how long a run that nobody waits for any more may still end the
-	// worker: it goes on where the worker doesn't notice that its connection is closed.
-	abandonedFor = time.Second
-
-	// brokenFor is within which time a new instance in the worker's place tells that a run
-	// which broke off was the end of the one before.
-	brokenFor = 5 * time.Second
-
-	// answeredFor is for how long an answer clears other copies of a request: a popular one
-	// that happens to be at three workers that end for other reasons, such as a rack
-	// without power, is not suspected. Twice that time at most.
-	answeredFor = 5 * time.Second
-
-	mostRuns     = 64   // that are remembered as abandoned, or as broken off
-	mostAnswered = 1024 // that are remembered as answered, within answeredFor
+	// abandonedRetention is how long an abandoned run may still crash the worker. It continues
+	// if the worker does not notice that its connection was closed.
+	abandonedRetention = time.Second
+
+	// brokenRetention is the time within which a new instance in the worker's place means that
+	// a run whose connection broke had crashed the previous instance.
+	brokenRetention = 5 * time.Second
+
+	// answeredRetention is the minimum time for which a response clears other copies of a
+	// request; the maximum is twice that. Otherwise a popular request that runs at three
+	// workers when these terminate for another reason, such as a loss of power in a rack, would
+	// become suspect.
+	answeredRetention = 5 * time.Second
+
+	maxUnfinishedRuns = 64   // abandoned runs, and as many broken ones
+	maxAnswered       = 1024 // answered requests within one answeredRetention
 )
 
-// pastRun is a run whose end nobody has seen.
-type pastRun struct {
+// unfinishedRun is a run whose result was not observed.
+type unfinishedRun struct {
 	instance    string
 	fingerprint quarantine.Fingerprint
 	at          time.Time
 }
 
-// pastRuns are the last of such runs, oldest first.
-type pastRuns []pastRun
+// unfinishedRuns are the latest such runs, oldest first.
+type unfinishedRuns []unfinishedRun
 
-func (p *pastRuns) add(run pastRun) {
-	if len(*p) >= mostRuns {
+func (p *unfinishedRuns) add(run unfinishedRun) {
+	if len(*p) >= maxUnfinishedRuns {
 		*p = append((*p)[:0], (*p)[1:]...)
 	}
 	*p = append(*p, run)
 }
 
-// since returns the requests that an instance has run since a time.
-func (p pastRuns) since(instance string, from time.Time) []quarantine.Fingerprint {
+// since returns the requests of an instance's runs at or after a time.
+func (p unfinishedRuns) since(instance string, from time.Time) []quarantine.Fingerprint {
 	var found []quarantine.Fingerprint
 	for _, run := range p {
 		if run.instance == instance && !run.at.Before(from) {
@@ -54,78 +55,82 @@
 	return found
 }
 
-// workerRuns remembers for a moment what became of runs at the local worker.
+// workerRuns tracks recent runs at the local worker by how they ended. It is safe for concurrent
+// use.
 type workerRuns struct {
 	mutex     sync.Mutex
-	abandoned pastRuns // given up before their ends
-	broken    pastRuns // broken off while the worker took connections
-	recent    map[quarantine.Fingerprint]struct{}
-	previous  map[quarantine.Fingerprint]struct{} // the recent ones before
-	turned    time.Time                           // when recent was begun
+	abandoned unfinishedRuns                      // abandoned before their results
+	broken    unfinishedRuns                      // connection broken while the worker accepted others
+	recent    map[quarantine.Fingerprint]struct{} // answered
+	previous  map[quarantine.Fingerprint]struct{} // answered in the period before
+	rotated   time.Time                           // when recent was started
 }
 
 func newWorkerRuns() *workerRuns {
 	return &workerRuns{recent: map[quarantine.Fingerprint]struct{}{}}
 }
 
-// noteAbandoned notes a run that is given up before its end.
-func (w *workerRuns) noteAbandoned(run pastRun) {
+// recordAbandoned records a run that was abandoned before its result.
+func (w *workerRuns) recordAbandoned(run unfinishedRun) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.abandoned.add(run)
 }
 
-// mayStillRun returns the abandoned requests that the instance may be running.
-func (w *workerRuns) mayStillRun(instance string, now time.Time) []quarantine.Fingerprint {
+// possiblyRunning returns the abandoned requests that the instance may still be running.
+func (w *workerRuns) possiblyRunning(instance string, now time.Time) []quarantine.Fingerprint {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.abandoned.since(instance, now.Add(-abandonedFor))
+	return w.abandoned.since(instance, now.Add(-abandonedRetention))
 }
 
-// noteBroken notes a run that broke off while the worker takes connections.
-func (w *workerRuns) noteBroken(run pastRun) {
+// recordBroken records a run whose connection broke while the worker accepts connections.
+func (w *workerRuns) recordBroken(run unfinishedRun) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.broken.add(run)
 }
 
-// brokeOff returns the requests that broke off at the instance of late.
-func (w *workerRuns) brokeOff(instance string, now time.Time) []quarantine.Fingerprint {
+// recentlyBroken returns the requests whose connections to the instance broke within
+// brokenRetention.
+func (w *workerRuns) recentlyBroken(instance string, now time.Time) []quarantine.Fingerprint {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.broken.since(instance, now.Add(-brokenFor))
+	return w.broken.since(instance, now.Add(-brokenRetention))
 }
 
-// noteAnswered notes a request that the worker has answered.
-func (w *workerRuns) noteAnswered(fingerprint quarantine.Fingerprint, now time.Time) {
+// recordAnswered records a request that the worker has responded to. Beyond maxAnswered it is
+// dropped.
+func (w *workerRuns) recordAnswered(fingerprint quarantine.Fingerprint, now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.turn(now)
-	if len(w.recent) < mostAnswered {
+	w.rotate(now)
+	if len(w.recent) < maxAnswered {
 		w.recent[fingerprint] = struct{}{}
 	}
 }
 
-// wasAnswered reports whether the worker has answered a copy of a request of late.
+// wasAnswered reports whether the worker has recently responded to a copy of a request.
 func (w *workerRuns) wasAnswered(fingerprint quarantine.Fingerprint, now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.turn(now)
+	w.rotate(now)
 	_, recent := w.recent[fingerprint]
 	_, previous := w.previous[fingerprint]
 	return recent || previous
 }
 
-// turn forgets what was answered before the last turn. The mutex is held.
-func (w *workerRuns) turn(now time.Time) {
-	switch passed := now.Sub(w.turned); {
-	case passed < answeredFor:
+// rotate starts a new period after answeredRetention and drops requests of earlier periods than
+// the previous one. The caller holds the mutex.
+func (w *workerRuns) rotate(now time.Time) {
+	switch passed := now.Sub(w.rotated); {
+	case passed < answeredRetention:
 		return
-	case passed < 2*answeredFor:
+	case passed < 2*answeredRetention:
 		w.previous = w.recent
 	default:
 		w.previous = nil
 	}
 	w.recent = map[quarantine.Fingerprint]struct{}{}
-	w.turned = now
+	w.rotated = now
 }
--- a/internal/traffic/worker_test.go
+++ b/internal/traffic/worker_test.go
@@ -14,14 +14,14 @@
 	"sliphead/internal/outcome"
 )
 
-// rawWorker is a stand-in worker that speaks HTTP by hand, so that it can
-// break it. It writes each request that it runs into its journal before it
-// answers. The query says what to do: n names the request, do the behaviour.
+// rawWorker is a fake worker that writes HTTP itself, so that it can violate the protocol. It
+// counts each request that it runs in its journal before it responds. The query of a request sets
+// its name (n) and the behaviour of the worker (do).
 type rawWorker struct {
 	listener net.Listener
 	mutex    sync.Mutex
 	journal  map[string]int
-	ended    chan string // names of requests whose connection ended under behaviour "hang"
+	ended    chan string // names of hanging requests whose connection was closed
 }
 
 func newRawWorker(t testing.TB) *rawWorker {
@@ -59,7 +59,7 @@
 			w.record(request.URL.Query().Get("n"))
 		}
 		_, err = io.Copy(io.Discard, request.Body)
-		if err != nil || !w.behave(behaviour, conn, reader, request) {
+		if err != nil || !w.respond(behaviour, conn, reader, request) {
 			return
 		}
 	}
@@ -78,13 +78,14 @@
 	return w.journal[name]
 }
 
-// own is the whole answer to the named request.
-func own(name string) string { return "answer to " + name }
+// ownBody returns the complete response body for the named request.
+func ownBody(name string) string { return "answer to " + name }
 
-// behave answers, or not; false ends the connection.
-func (w *rawWorker) behave(behaviour string, conn net.Conn, reader io.Reader, request *http.Request) bool {
+// respond writes the response that the behaviour requires, or none. It returns false if the
+// connection is to be closed.
+func (w *rawWorker) respond(behaviour string, conn net.Conn, reader io.Reader, request *http.Request) bool {
 	name := request.URL.Query().Get("n")
-	text := own(name)
+	text := ownBody(name)
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	attempt := request.Header.Get(attemptHeader)
 	switch behaviour {
