--- a/internal/traffic/keys_test.go
+++ b/internal/traffic/keys_test.go
@@ -251,7 +251,7 @@
 
 // A request stays in the regions that both its tenant and its route allow. The caller's node and
 // the worker's node each enforce this alone.
-func TestRequestStaysInAllowedRegions(t *testing.T) {
+func TestRequestStaysInRegionsOfTenantAndRoute(t *testing.T) {
 	for _, allowed := range []struct {
 		route, tenant []string
 		status        int
