--- a/internal/quota/event.go
+++ b/internal/quota/event.go
@@ -10,97 +10,98 @@
 // Event is an input of the machine.
 type Event interface{ event() }
 
-// Tick lets time pass. Machine.Due says when it is due.
+// Tick reports the passing of time. Machine.Due returns when the next one is due.
 type Tick struct{}
 
-// Configured tells what the catalog says now.
+// Configured carries the tenants and nodes of the current catalog.
 type Configured struct {
 	Tenants []catalog.Tenant
-	Hosts   []Host // nodes with a worker on record
+	Hosts   []Host // nodes with a worker in the catalog
 }
 
-// Wanted asks for a token for a request. A Decided with the same ID answers it, in the same
-// step or in a later one.
-type Wanted struct {
-	ID     uint64 // of the request, never used again
+// TokenRequested asks for a token for a request. A Decided effect with the same ID follows in
+// the same step or in a later one.
+type TokenRequested struct {
+	ID     uint64 // of the request; never reused
 	Tenant string
 }
 
-// Cancelled tells that nobody waits for the answer to a Wanted any more.
+// Cancelled reports that the request with this ID no longer waits for a Decided.
 type Cancelled struct {
 	ID     uint64
 	Tenant string
 }
 
-// Returned gives the token of a request back that no worker has run or will run.
-type Returned struct{ Tenant string }
+// TokenReturned returns the token of a request that no worker has run or will run.
+type TokenReturned struct{ Tenant string }
 
-// Heard is a message of another node.
-type Heard struct {
-	From    netip.AddrPort // to which an answer goes
+// MessageReceived delivers a message of another node.
+type MessageReceived struct {
+	From    netip.AddrPort // address for the reply
 	Message Message
 }
 
-func (Tick) event()       {}
-func (Configured) event() {}
-func (Wanted) event()     {}
-func (Cancelled) event()  {}
-func (Returned) event()   {}
-func (Heard) event()      {}
+func (Tick) event()            {}
+func (Configured) event()      {}
+func (TokenRequested) event()  {}
+func (Cancelled) event()       {}
+func (TokenReturned) event()   {}
+func (MessageReceived) event() {}
 
-// Kind tells messages apart.
+// Kind is the kind of a message.
 type Kind int
 
-// The kinds of message.
+// The kinds of messages.
 const (
-	Question   Kind = iota + 1 // asks the stripe of Tenant for up to Tokens
-	Answer                     // to the question ID: Tokens granted, or none for Wait, or none here at all
-	Return                     // gives Tokens back to the stripe of Tenant
-	Withdrawal                 // of the question ID: its sender will use no answer
+	Query  Kind = iota + 1 // requests up to Tokens from the stripe of Tenant
+	Reply                  // to the query ID: grants Tokens, or has none for Wait, or reports NoStripe
+	Return                 // returns Tokens to the stripe of Tenant
+	Cancel                 // cancels the query ID: the sender will not use a reply
 )
 
-// Message is what two nodes tell each other.
+// Message is a message between two nodes.
 type Message struct {
-	Kind   Kind
-	ID     uint32 // of the question
-	Tenant string
-	Tokens int
-	Wait   time.Duration // after which there is room again
-	None   bool          // whether the node asked holds no stripe of the tenant
+	Kind     Kind
+	ID       uint32 // of the query
+	Tenant   string
+	Tokens   int
+	Wait     time.Duration // time until the next token is available
+	NoStripe bool          // whether the queried node has no stripe of the tenant
 }
 
-// Effect is an output of the machine, carried out by its owner.
+// Effect is an output of the machine, carried out by its caller.
 type Effect interface{ effect() }
 
-// Send sends a message to another node. It may be lost.
+// Send sends a message to another node. Delivery is not guaranteed.
 type Send struct {
-	Host    string         // IP address of a node, "": To is meant
-	To      netip.AddrPort // of one that is answered
+	Host    string         // IP address of a node; "": use To
+	To      netip.AddrPort // address of the node that is replied to
 	Message Message
 }
 
-// Decided answers a Wanted.
+// Decided is the decision on a TokenRequested.
 type Decided struct {
 	ID         uint64
 	Result     Result
-	RetryAfter time.Duration // with Refused: after which there may be room
+	RetryAfter time.Duration // with Rejected: time until a token may be available
 }
 
-// Result is what becomes of a Wanted.
+// Result is the outcome of a TokenRequested.
 type Result string
 
-// The results.
+// The outcomes.
 const (
-	Granted Result = "granted" // a stripe granted a token
-	Held    Result = "held"    // a token was in hand
-	Alone   Result = "alone"   // no stripe answered; the token comes from what the node may spend alone
-	Refused Result = "refused" // the tenant has no room
+	Granted  Result = "granted" // a stripe granted a token
+	Cached   Result = "held"    // an unused token of an earlier grant was available on this node
+	Fallback Result = "alone"   // no stripe replied; the token comes from the node's fallback share
+	Rejected Result = "refused" // the tenant has no token left
 
-	// Unlimited means that the tenant has no limit any more.
+	// Unlimited means that the tenant no longer has a limit.
 	Unlimited Result = "unlimited"
 )
 
-// Unreachable tells that no stripe of a tenant answers. It is told once in a while.
+// Unreachable reports that no stripe of a tenant replies. It is emitted for a tenant at most
+// once per unreachableInterval.
 type Unreachable struct{ Tenant string }
 
 func (Send) effect()        {}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -11,19 +11,19 @@
 	"sliphead/internal/catalog"
 )
 
-var began = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// The network of the fleet, one way.
+// One-way delays of the fleet's network.
 const (
-	inZone    = 250 * time.Microsecond
-	crossZone = 600 * time.Microsecond
+	sameZoneDelay  = 250 * time.Microsecond
+	crossZoneDelay = 600 * time.Microsecond
 )
 
-// newsLag is within which nodes in touch hear of a change of the catalog.
-const newsLag = 2500 * time.Millisecond
+// maxPropagation is the time within which connected nodes observe a change of the catalog.
+const maxPropagation = 2500 * time.Millisecond
 
-// fleet runs the machines of a mesh in virtual time, with messages that are late, lost and
-// overtake each other, and callers who send by chance.
+// fleet simulates the state machines of a mesh in virtual time. Messages are delayed, lost and
+// reordered, and requests arrive at random times.
 type fleet struct {
 	random   *rand.Rand
 	settings Settings
@@ -33,35 +33,35 @@
 	tenants  []*fleetTenant
 	zones    int
 	loss     float64
-	queue    eventQueue
+	events   eventQueue
 	serial   uint64
 	messages int
-	bytes    int // computed from the shape of messages
+	bytes    int // estimated from the fields of the messages
 }
 
 type fleetNode struct {
-	host    Host
-	machine *Machine
-	side    int  // of a cut: nodes reach those on their side; the store is on side 0
-	down    bool // without a process
-	frozen  bool // suspended: its events wait, its clock goes on
-	backlog []func()
-	tick    time.Time // when its next tick is queued for
-	asked   map[uint64]*fleetTenant
+	host      Host
+	machine   *Machine
+	partition int  // nodes reach only nodes in the same partition; the store is in partition 0
+	down      bool // its process does not run
+	suspended bool // its events are delayed while its clock continues
+	backlog   []func()
+	nextTick  time.Time // time of the next scheduled Tick
+	requests  map[uint64]*fleetTenant
 }
 
-// fleetTenant is a tenant with its callers, and what became of their requests.
+// fleetTenant is a tenant with its offered load and the outcomes of its requests.
 type fleetTenant struct {
 	catalog.Tenant
-	demand   float64 // requests a second
-	zone     int     // to whose nodes alone callers send; -1: any
-	limitAt  time.Time
-	level    float64 // of an ideal bucket for the whole mesh
-	levelAt  time.Time
-	owed     int // requests that the ideal bucket lets pass
-	sent     int
-	refused  int
-	admitted []time.Time
+	demand        float64 // requests a second
+	zone          int     // the only zone that receives its requests; -1: all zones
+	boundFrom     time.Time
+	idealLevel    float64 // tokens of an ideal bucket for the whole mesh
+	idealLevelAt  time.Time
+	idealAdmitted int // requests that the ideal bucket admits
+	sent          int
+	rejected      int
+	admitted      []time.Time
 }
 
 type fleetEvent struct {
@@ -84,7 +84,7 @@
 	return last
 }
 
-// fleetShape is the size of a fleet and the settings of its machines.
+// fleetShape describes a fleet and the settings of its machines.
 type fleetShape struct {
 	nodes, zones, tenants int
 	demand                float64 // requests a second of all tenants together
@@ -94,15 +94,15 @@
 var exampleSettings = Settings{Window: 5 * time.Second, Overage: 0.25, Slack: 20}
 
 func newFleet(seed uint64, shape fleetShape) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 7)), settings: shape.settings, now: began, byHost: map[string]*fleetNode{}, zones: shape.zones}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 7)), settings: shape.settings, now: startTime, byHost: map[string]*fleetNode{}, zones: shape.zones}
 	total := 0.0
-	for index := range shape.tenants { // the first are large, as in a law of rank and size
+	for index := range shape.tenants { // demand follows a power law of the rank
 		total += 1 / math.Pow(float64(index+1), 0.9)
 	}
 	for index := range shape.tenants {
 		demand := shape.demand / total / math.Pow(float64(index+1), 0.9)
 		rate := math.Max(2, 1.6*demand)
-		f.tenants = append(f.tenants, &fleetTenant{Tenant: catalog.Tenant{Name: fmt.Sprint("tenant-", index), RatePerSecond: rate, Burst: rate}, demand: demand, zone: -1, level: rate, levelAt: began})
+		f.tenants = append(f.tenants, &fleetTenant{Tenant: catalog.Tenant{Name: fmt.Sprint("tenant-", index), RatePerSecond: rate, Burst: rate}, demand: demand, zone: -1, idealLevel: rate, idealLevelAt: startTime})
 	}
 	for index := range shape.nodes {
 		f.add(index % shape.zones)
@@ -110,12 +110,12 @@
 	for _, each := range f.nodes {
 		f.start(each)
 	}
-	f.tellAll()
+	f.configureAll()
 	f.run(10 * time.Second)
 	return f
 }
 
-// add adds a machine without a process.
+// add adds a node whose process does not run yet.
 func (f *fleet) add(zone int) *fleetNode {
 	index := len(f.nodes)
 	added := &fleetNode{host: Host{Address: fmt.Sprintf("10.0.%d.%d", index/250, index%250), Zone: fmt.Sprint("z", zone), Region: "r1"}, down: true}
@@ -124,49 +124,50 @@
 	return added
 }
 
-// start starts a process that knows nothing.
+// start starts a node's process without any state.
 func (f *fleet) start(n *fleetNode) {
-	n.down, n.frozen, n.backlog, n.asked = false, false, nil, map[uint64]*fleetTenant{}
-	n.machine = New(Config{Settings: f.settings, Self: n.host.Address, Zone: n.host.Zone, Region: "r1", Lag: newsLag, Random: rand.NewPCG(f.random.Uint64(), 0)}, f.now)
-	n.tick = time.Time{}
+	n.down, n.suspended, n.backlog, n.requests = false, false, nil, map[uint64]*fleetTenant{}
+	n.machine = New(Config{Settings: f.settings, Self: n.host.Address, Zone: n.host.Zone, Region: "r1", Lag: maxPropagation, Random: rand.NewPCG(f.random.Uint64(), 0)}, f.now)
+	n.nextTick = time.Time{}
 	f.step(n, Tick{})
 }
 
-// tell has a node know what the catalog says now; it does so once, as news travel.
-func (f *fleet) tell(n *fleetNode, lag time.Duration) {
-	told := Configured{}
+// configure delivers the current catalog to a node once, after a delay.
+func (f *fleet) configure(n *fleetNode, lag time.Duration) {
+	configured := Configured{}
 	for _, each := range f.tenants {
-		told.Tenants = append(told.Tenants, each.Tenant)
+		configured.Tenants = append(configured.Tenants, each.Tenant)
 	}
 	for _, each := range f.nodes {
 		if !each.down {
-			told.Hosts = append(told.Hosts, each.host)
+			configured.Hosts = append(configured.Hosts, each.host)
 		}
 	}
 	f.after(lag, func() {
-		if n.side == 0 {
-			f.step(n, told)
+		if n.partition == 0 {
+			f.step(n, configured)
 		}
 	})
 }
 
-// tellAll does so for all, each as late as may be.
-func (f *fleet) tellAll() {
+// configureAll delivers the current catalog to all nodes, each after a random delay of up to
+// maxPropagation.
+func (f *fleet) configureAll() {
 	for _, each := range f.nodes {
-		f.tell(each, time.Duration(f.random.Int64N(int64(newsLag))))
+		f.configure(each, time.Duration(f.random.Int64N(int64(maxPropagation))))
 	}
 }
 
 func (f *fleet) after(wait time.Duration, run func()) {
 	f.serial++
-	heap.Push(&f.queue, fleetEvent{at: f.now.Add(wait), serial: f.serial, run: run})
+	heap.Push(&f.events, fleetEvent{at: f.now.Add(wait), serial: f.serial, run: run})
 }
 
-// run lets time pass.
-func (f *fleet) run(most time.Duration) {
-	until := f.now.Add(most)
-	for len(f.queue) > 0 && !f.queue[0].at.After(until) {
-		next := heap.Pop(&f.queue).(fleetEvent)
+// run processes events for a duration of virtual time.
+func (f *fleet) run(duration time.Duration) {
+	until := f.now.Add(duration)
+	for len(f.events) > 0 && !f.events[0].at.After(until) {
+		next := heap.Pop(&f.events).(fleetEvent)
 		f.now = next.at
 		next.run()
 	}
@@ -177,7 +178,7 @@
 	if n.down {
 		return
 	}
-	if n.frozen {
+	if n.suspended {
 		n.backlog = append(n.backlog, func() { f.step(n, event) })
 		return
 	}
@@ -189,25 +190,25 @@
 			f.decided(n, effect)
 		}
 	}
-	if due := n.machine.Due(f.now); n.tick.IsZero() || due.Before(n.tick) || !n.tick.After(f.now) {
-		n.tick = due
+	if due := n.machine.Due(f.now); n.nextTick.IsZero() || due.Before(n.nextTick) || !n.nextTick.After(f.now) {
+		n.nextTick = due
 		machine := n.machine
 		f.after(due.Sub(f.now), func() {
-			if n.machine == machine && n.tick.Equal(due) {
+			if n.machine == machine && n.nextTick.Equal(due) {
 				f.step(n, Tick{})
 			}
 		})
 	}
 }
 
-// thaw ends a suspension: what waited comes at once.
-func (f *fleet) thaw(n *fleetNode) {
-	n.frozen = false
+// resume ends a suspension: all delayed events are processed at once.
+func (f *fleet) resume(n *fleetNode) {
+	n.suspended = false
 	for _, run := range n.backlog {
 		run()
 	}
 	n.backlog = nil
-	n.tick = time.Time{}
+	n.nextTick = time.Time{}
 	f.step(n, Tick{})
 }
 
@@ -219,53 +220,54 @@
 	to := f.byHost[address]
 	f.messages++
 	f.bytes += lengthOf(sent.Message)
-	if to == nil || to.side != from.side || f.random.Float64() < f.loss {
+	if to == nil || to.partition != from.partition || f.random.Float64() < f.loss {
 		return
 	}
-	wait := crossZone
+	wait := crossZoneDelay
 	if to.host.Zone == from.host.Zone {
-		wait = inZone
+		wait = sameZoneDelay
 	}
 	wait += time.Duration(f.random.ExpFloat64() * float64(wait) / 2)
 	const port = 7000
 	source := netip.AddrPortFrom(netip.MustParseAddr(from.host.Address), port)
-	f.after(wait, func() { f.step(to, Heard{From: source, Message: sent.Message}) })
+	f.after(wait, func() { f.step(to, MessageReceived{From: source, Message: sent.Message}) })
 }
 
-// lengthOf is about the length of a message's line.
+// lengthOf estimates the encoded length of a message in bytes.
 func lengthOf(message Message) int {
 	const keys, id = 18, 8
 	return keys + id + len(message.Tenant)
 }
 
 func (f *fleet) decided(n *fleetNode, decided Decided) {
-	tenant := n.asked[decided.ID]
-	delete(n.asked, decided.ID)
-	if decided.Result == Refused {
-		tenant.refused++
+	tenant := n.requests[decided.ID]
+	delete(n.requests, decided.ID)
+	if decided.Result == Rejected {
+		tenant.rejected++
 		return
 	}
 	tenant.admitted = append(tenant.admitted, f.now)
 }
 
-// traffic has callers send for some time. Where a node has no process they go to another.
-func (f *fleet) traffic(most time.Duration) {
-	until := f.now.Add(most)
+// traffic runs the fleet for a duration with requests of all tenants. A node whose process does
+// not run receives none.
+func (f *fleet) traffic(duration time.Duration) {
+	until := f.now.Add(duration)
 	for _, each := range f.tenants {
-		f.arrive(each, until)
+		f.scheduleRequest(each, until)
 	}
-	f.run(most)
+	f.run(duration)
 }
 
-// arrive has the tenant's next request come, and those after it.
-func (f *fleet) arrive(tenant *fleetTenant, until time.Time) {
+// scheduleRequest schedules the tenant's next request, which schedules the one after it.
+func (f *fleet) scheduleRequest(tenant *fleetTenant, until time.Time) {
 	wait := time.Duration(f.random.ExpFloat64() / tenant.demand * float64(time.Second))
 	if f.now.Add(wait).After(until) {
 		return
 	}
 	f.after(wait, func() {
 		f.request(tenant)
-		f.arrive(tenant, until)
+		f.scheduleRequest(tenant, until)
 	})
 }
 
@@ -275,38 +277,40 @@
 		n = f.nodes[f.random.IntN(len(f.nodes))]
 	}
 	tenant.sent++
-	tenant.level = math.Min(tenant.Burst, tenant.level+tenant.RatePerSecond*f.now.Sub(tenant.levelAt).Seconds())
-	tenant.levelAt = f.now
-	if tenant.level >= 1 {
-		tenant.level--
-		tenant.owed++
+	tenant.idealLevel = math.Min(tenant.Burst, tenant.idealLevel+tenant.RatePerSecond*f.now.Sub(tenant.idealLevelAt).Seconds())
+	tenant.idealLevelAt = f.now
+	if tenant.idealLevel >= 1 {
+		tenant.idealLevel--
+		tenant.idealAdmitted++
 	}
 	f.serial++
-	n.asked[f.serial] = tenant
-	f.step(n, Wanted{ID: f.serial, Tenant: tenant.Name})
+	n.requests[f.serial] = tenant
+	f.step(n, TokenRequested{ID: f.serial, Tenant: tenant.Name})
 }
 
-// reset forgets what was counted.
-func (f *fleet) reset() {
+// resetCounts clears all counts.
+func (f *fleet) resetCounts() {
 	for _, each := range f.tenants {
-		each.sent, each.owed, each.refused, each.admitted = 0, 0, 0, nil
+		each.sent, each.idealAdmitted, each.rejected, each.admitted = 0, 0, 0, nil
 	}
 	f.messages, f.bytes = 0, 0
 }
 
-// served is the part of what lies within the limits that was let pass, over some tenants.
-func served(tenants ...*fleetTenant) float64 {
-	owed, passed := 0, 0
+// servedShare returns the fraction of the requests within the limits of some tenants that were
+// admitted.
+func servedShare(tenants ...*fleetTenant) float64 {
+	ideal, admitted := 0, 0
 	for _, each := range tenants {
-		owed += each.owed
-		passed += min(each.owed, len(each.admitted))
+		ideal += each.idealAdmitted
+		admitted += min(each.idealAdmitted, len(each.admitted))
 	}
-	return float64(passed) / float64(owed)
+	return float64(admitted) / float64(ideal)
 }
 
-// worst returns the largest part of its bound that a tenant used in any window that ends at
-// or after a moment, and the tenant. The bound is that of the tenant's limit now.
-func (f *fleet) worst() (float64, string) {
+// worstBoundUse returns the largest fraction of its bound that any tenant used in a window, and
+// the tenant. The bound is that of the tenant's current limit; windows that begin before
+// boundFrom do not count.
+func (f *fleet) worstBoundUse() (float64, string) {
 	worst, name := 0.0, ""
 	for _, each := range f.tenants {
 		bound := (each.RatePerSecond*f.settings.Window.Seconds()+each.Burst)*(1+f.settings.Overage) + f.settings.Slack
@@ -315,11 +319,11 @@
 			for at.Sub(each.admitted[first]) > f.settings.Window {
 				first++
 			}
-			if each.admitted[first].Before(each.limitAt) {
+			if each.admitted[first].Before(each.boundFrom) {
 				continue
 			}
-			if part := float64(index-first+1) / bound; part > worst {
-				worst, name = part, each.Name
+			if used := float64(index-first+1) / bound; used > worst {
+				worst, name = used, each.Name
 			}
 		}
 	}
--- a/internal/quota/keeper/counts.go
+++ b/internal/quota/keeper/counts.go
@@ -7,58 +7,59 @@
 	"sliphead/internal/quota"
 )
 
-// counts are running totals.
+// counts are the totals since the start. They are safe for concurrent use.
 type counts struct {
 	messages atomic.Uint64 // datagrams sent
-	bytes    atomic.Uint64 // in them
-	dropped  atomic.Uint64 // datagrams that found no room in the owner's queue
+	bytes    atomic.Uint64 // of the datagrams sent
+	dropped  atomic.Uint64 // datagrams received while the input queue was full
 
-	held, granted, alone, refused, unlimited atomic.Uint64 // requests, by what became of them
+	cached, granted, fallback, rejected, unlimited atomic.Uint64 // requests, by outcome
 }
 
 func (c *counts) of(result quota.Result) *atomic.Uint64 {
 	switch result {
-	case quota.Held:
-		return &c.held
+	case quota.Cached:
+		return &c.cached
 	case quota.Granted:
 		return &c.granted
-	case quota.Alone:
-		return &c.alone
+	case quota.Fallback:
+		return &c.fallback
 	case quota.Unlimited:
 		return &c.unlimited
 	}
-	return &c.refused
+	return &c.rejected
 }
 
-// Results are all that a request can be counted as.
+// Results returns all outcomes of a request.
 func Results() []quota.Result {
-	return []quota.Result{quota.Held, quota.Granted, quota.Alone, quota.Refused, quota.Unlimited}
+	return []quota.Result{quota.Cached, quota.Granted, quota.Fallback, quota.Rejected, quota.Unlimited}
 }
 
-// Counted returns how many requests ended so since the start.
+// Counted returns the number of requests with this outcome since the start.
 func (k *Keeper) Counted(result quota.Result) uint64 { return k.counts.of(result).Load() }
 
-// Sent returns how many datagrams were sent to other nodes, and their bytes.
+// Sent returns the number of datagrams sent to other nodes and their total bytes.
 func (k *Keeper) Sent() (datagrams, bytes uint64) {
 	return k.counts.messages.Load(), k.counts.bytes.Load()
 }
 
-// Dropped returns how many datagrams came and found no room in the owner's queue.
+// Dropped returns the number of datagrams dropped because the input queue was full.
 func (k *Keeper) Dropped() uint64 { return k.counts.dropped.Load() }
 
-// statusAsked asks the owner for the machine's state.
-type statusAsked struct{ reply chan quota.Status }
+// statusRequest asks the owner goroutine for the state of the machine.
+type statusRequest struct{ reply chan quota.Status }
 
-// Status tells the state of now, nothing if the owner does not answer before ctx ends.
+// Status returns the current state, or a zero Status if the owner does not reply before ctx
+// ends.
 func (k *Keeper) Status(ctx context.Context) quota.Status {
-	asked := statusAsked{reply: make(chan quota.Status, 1)}
+	request := statusRequest{reply: make(chan quota.Status, 1)}
 	select {
-	case k.inputs <- input{event: asked}:
+	case k.inputs <- input{event: request}:
 	case <-ctx.Done():
 		return quota.Status{}
 	}
 	select {
-	case status := <-asked.reply:
+	case status := <-request.reply:
 		return status
 	case <-ctx.Done():
 		return quota.Status{}
--- a/internal/quota/keeper/keeper.go
+++ b/internal/quota/keeper/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper runs a node's part of the quotas: one goroutine owns the pure machine and
-// talks to other nodes by datagrams.
+// Package keeper runs the quota state machine of a node: one goroutine owns the machine and
+// exchanges datagrams with other nodes.
 package keeper
 
 import (
@@ -21,43 +21,46 @@
 	"sliphead/internal/quota"
 )
 
-// readPause is the wait after a failure to read from the socket.
-const readPause = 200 * time.Millisecond
+// readErrorBackoff is the pause after an error of a read from the socket.
+const readErrorBackoff = 200 * time.Millisecond
 
-// inputQueue is how many inputs wait for the owner: more than 100 ms of a node's requests
-// and of the questions to it, at 300 of each a second.
-const inputQueue = 256
+// inputQueueSize is the number of inputs that may wait for the owner goroutine: more than 100
+// ms of a node's own requests and of the queries sent to it, at 300 a second each.
+const inputQueueSize = 256
 
-// busyWait is told to the caller of a request whose time ended before the owner dealt with it.
-const busyWait = 200 * time.Millisecond
+// overloadRetryAfter is the retry delay for a request whose context ended before the owner
+// processed it.
+const overloadRetryAfter = 200 * time.Millisecond
 
-// Config is what a keeper is made of. All fields are required, but for Logger and Now.
+// Config configures a Keeper. All fields except Logger and Now are required.
 type Config struct {
 	Quota  quota.Config
-	Listen netip.AddrPort // that datagrams are sent from and come to; the port is the same on all nodes
-	Logger log.Interface  // nil: nothing is logged
+	Listen netip.AddrPort // local address of the socket; all nodes use the same port
+	Logger log.Interface  // nil: no logging
 	Now    func() time.Time
 }
 
-// Keeper is one node's part of the quotas.
+// Keeper runs the quotas of one node. Its methods may be called concurrently, except for
+// Configure.
 type Keeper struct {
 	config    Config
 	inputs    chan input
-	configure chan quota.Configured // the newest one
-	machine   *quota.Machine        // of the owner
+	configure chan quota.Configured // holds only the newest one
+	machine   *quota.Machine        // used by the owner goroutine only
 	waiting   map[uint64]chan quota.Decided
-	socket    *net.UDPConn // of the owner, once Run has begun
+	socket    *net.UDPConn // used by the owner goroutine only; set by Run
 	lastID    atomic.Uint64
 	counts    counts
 }
 
-// input is an event for the owner. Reply gets the Decided of a Wanted.
+// input is an event for the owner goroutine. The Decided effect for a TokenRequested event is
+// sent to reply.
 type input struct {
-	event any // a quota.Event or a statusAsked
+	event any // a quota.Event or a statusRequest
 	reply chan quota.Decided
 }
 
-// New returns a keeper that knows of no tenant. It opens no socket.
+// New returns a keeper without any tenant. It opens no socket before Run.
 func New(config Config) *Keeper {
 	if config.Logger == nil {
 		config.Logger = logging.Discard()
@@ -70,59 +73,60 @@
 	}
 	return &Keeper{
 		config: config, machine: quota.New(config.Quota, config.Now()),
-		inputs: make(chan input, inputQueue), configure: make(chan quota.Configured, 1), waiting: map[uint64]chan quota.Decided{},
+		inputs: make(chan input, inputQueueSize), configure: make(chan quota.Configured, 1), waiting: map[uint64]chan quota.Decided{},
 	}
 }
 
-// Configure tells what the catalog says now. It does not wait: one that was not dealt with
-// yet is replaced. One goroutine calls it.
-func (k *Keeper) Configure(told quota.Configured) {
+// Configure applies the tenants and nodes of the current catalog. It does not block: a
+// configuration that was not processed yet is replaced. It must not be called concurrently.
+func (k *Keeper) Configure(configured quota.Configured) {
 	select {
 	case <-k.configure:
 	default:
 	}
-	k.configure <- told
+	k.configure <- configured
 }
 
-// Take implements traffic.Quotas.
+// Take implements traffic.Quotas: it reports whether the request may run, and otherwise the
+// time after which to retry.
 func (k *Keeper) Take(ctx context.Context, tenant *catalog.Tenant) (bool, time.Duration) {
 	id := k.lastID.Add(1)
 	reply := make(chan quota.Decided, 1)
 	select {
-	case k.inputs <- input{event: quota.Wanted{ID: id, Tenant: tenant.Name}, reply: reply}:
+	case k.inputs <- input{event: quota.TokenRequested{ID: id, Tenant: tenant.Name}, reply: reply}:
 	case <-ctx.Done():
-		return false, busyWait
+		return false, overloadRetryAfter
 	}
 	select {
 	case decided := <-reply:
-		return decided.Result != quota.Refused, decided.RetryAfter
+		return decided.Result != quota.Rejected, decided.RetryAfter
 	case <-ctx.Done():
 		return k.cancel(id, tenant, reply)
 	}
 }
 
-// cancel ends the wait of a request whose time is over.
+// cancel ends the wait of a request whose context has ended.
 func (k *Keeper) cancel(id uint64, tenant *catalog.Tenant, reply chan quota.Decided) (bool, time.Duration) {
 	select {
 	case k.inputs <- input{event: quota.Cancelled{ID: id, Tenant: tenant.Name}, reply: reply}:
-	default: // the owner is behind: a token that is granted yet is lost
+	default: // the owner is overloaded: a token granted later is lost
 	}
-	return false, busyWait
+	return false, overloadRetryAfter
 }
 
-// GiveBack implements traffic.Quotas. A token that finds no room in the queue is lost.
+// GiveBack implements traffic.Quotas. The token is lost if the input queue is full.
 func (k *Keeper) GiveBack(tenant *catalog.Tenant) {
 	select {
-	case k.inputs <- input{event: quota.Returned{Tenant: tenant.Name}}:
+	case k.inputs <- input{event: quota.TokenReturned{Tenant: tenant.Name}}:
 	default:
 	}
 }
 
-// Run talks to other nodes until ctx ends.
+// Run exchanges messages with other nodes until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(k.config.Listen))
 	if err != nil {
-		return fault.Wrap(err, fault.Settings, "free the address or change listen.quota in the settings", "listen for datagrams on quotas")
+		return fault.Wrap(err, fault.Settings, "free the address or change listen.quota in the settings", "listen for quota datagrams")
 	}
 	k.socket = socket
 	stop := context.AfterFunc(ctx, func() { _ = socket.Close() })
@@ -130,15 +134,15 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return k.read(ctx, socket) })
 	group.Go(func() error {
-		k.own(ctx)
+		k.runOwner(ctx)
 		return nil
 	})
 	return group.Wait()
 }
 
-// read takes datagrams in.
+// read receives datagrams.
 func (k *Keeper) read(ctx context.Context, socket *net.UDPConn) error {
-	buffer := make([]byte, mostDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		count, remote, err := socket.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil {
@@ -146,7 +150,7 @@
 		}
 		if err != nil {
 			logging.Problem(k.config.Logger, "quota.messageLost", err, nil)
-			time.Sleep(readPause) // short of buffers, most likely
+			time.Sleep(readErrorBackoff) // most likely out of buffers
 			continue
 		}
 		message, err := decode(buffer[:count])
@@ -155,15 +159,16 @@
 			continue
 		}
 		select {
-		case k.inputs <- input{event: quota.Heard{From: remote, Message: message}}:
-		default: // the owner is behind: whoever asked asks another stripe
+		case k.inputs <- input{event: quota.MessageReceived{From: remote, Message: message}}:
+		default: // the owner is overloaded: the querying node will query another stripe
 			k.counts.dropped.Add(1)
 		}
 	}
 }
 
-// own is the goroutine that owns the state.
-func (k *Keeper) own(ctx context.Context) {
+// runOwner processes inputs and ticks until ctx ends. Only this goroutine uses the state
+// machine.
+func (k *Keeper) runOwner(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -172,36 +177,36 @@
 			return
 		case <-timer.C:
 			k.step(quota.Tick{})
-		case told := <-k.configure:
-			k.step(told)
-		case given := <-k.inputs:
-			k.handle(given)
+		case configured := <-k.configure:
+			k.step(configured)
+		case next := <-k.inputs:
+			k.handle(next)
 		}
 		now := k.config.Now()
 		timer.Reset(k.machine.Due(now).Sub(now))
 	}
 }
 
-func (k *Keeper) handle(given input) {
-	switch event := given.event.(type) {
-	case quota.Wanted:
-		k.waiting[event.ID] = given.reply
+func (k *Keeper) handle(next input) {
+	switch event := next.event.(type) {
+	case quota.TokenRequested:
+		k.waiting[event.ID] = next.reply
 	case quota.Cancelled:
-		k.forget(event, given.reply)
-	case statusAsked:
+		k.dropWaiter(event, next.reply)
+	case statusRequest:
 		event.reply <- k.machine.Status()
 		return
 	}
-	k.step(given.event.(quota.Event))
+	k.step(next.event.(quota.Event))
 }
 
-// forget ends a wait. A token that was granted before goes back.
-func (k *Keeper) forget(event quota.Cancelled, reply chan quota.Decided) {
+// dropWaiter ends the wait of a request. A token that was granted in the meantime is returned.
+func (k *Keeper) dropWaiter(event quota.Cancelled, reply chan quota.Decided) {
 	delete(k.waiting, event.ID)
 	select {
 	case decided := <-reply:
-		if decided.Result != quota.Refused {
-			k.step(quota.Returned{Tenant: event.Tenant})
+		if decided.Result != quota.Rejected {
+			k.step(quota.TokenReturned{Tenant: event.Tenant})
 		}
 	default:
 	}
@@ -214,15 +219,15 @@
 		case quota.Send:
 			k.send(effect)
 		case quota.Decided:
-			k.decide(effect)
+			k.deliver(effect)
 		case quota.Unreachable:
 			logging.Event(k.config.Logger, "quota.alone", logging.Fields{"tenant": effect.Tenant})
 		}
 	}
 }
 
-// decide answers the request that waits.
-func (k *Keeper) decide(decided quota.Decided) {
+// deliver sends a decision to the waiting request.
+func (k *Keeper) deliver(decided quota.Decided) {
 	k.counts.of(decided.Result).Add(1)
 	if reply, waits := k.waiting[decided.ID]; waits {
 		delete(k.waiting, decided.ID)
@@ -230,20 +235,20 @@
 	}
 }
 
-// send sends a message to another node. One that can't be sent is as good as lost.
-func (k *Keeper) send(told quota.Send) {
-	line, err := encode(told.Message)
-	to := told.To
-	if err == nil && told.Host != "" {
-		to, err = netip.ParseAddrPort(net.JoinHostPort(told.Host, strconv.Itoa(int(k.config.Listen.Port()))))
+// send sends a message to another node. A message that can't be sent is treated as lost.
+func (k *Keeper) send(effect quota.Send) {
+	datagram, err := encode(effect.Message)
+	to := effect.To
+	if err == nil && effect.Host != "" {
+		to, err = netip.ParseAddrPort(net.JoinHostPort(effect.Host, strconv.Itoa(int(k.config.Listen.Port()))))
 	}
 	if err == nil {
-		_, err = k.socket.WriteToUDPAddrPort(line, to)
+		_, err = k.socket.WriteToUDPAddrPort(datagram, to)
 	}
 	if err != nil {
 		logging.Problem(k.config.Logger, "quota.messageLost", err, logging.Fields{"peer": to.String()})
 		return
 	}
 	k.counts.messages.Add(1)
-	k.counts.bytes.Add(uint64(len(line)))
+	k.counts.bytes.Add(uint64(len(datagram)))
 }
--- a/internal/quota/keeper/keeper_test.go
+++ b/internal/quota/keeper/keeper_test.go
@@ -19,26 +19,26 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestMessagesReadBack(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	for _, sent := range []quota.Message{
-		{Kind: quota.Question, ID: 0, Tenant: "press", Tokens: 3},
-		{Kind: quota.Answer, ID: 1<<32 - 1, Tokens: 2},
-		{Kind: quota.Answer, ID: 7, Wait: 250 * time.Millisecond},
-		{Kind: quota.Answer, ID: 7, None: true},
+		{Kind: quota.Query, ID: 0, Tenant: "press", Tokens: 3},
+		{Kind: quota.Reply, ID: 1<<32 - 1, Tokens: 2},
+		{Kind: quota.Reply, ID: 7, Wait: 250 * time.Millisecond},
+		{Kind: quota.Reply, ID: 7, NoStripe: true},
 		{Kind: quota.Return, Tenant: "press", Tokens: 1},
-		{Kind: quota.Withdrawal, ID: 9},
+		{Kind: quota.Cancel, ID: 9},
 	} {
 		line, err := encode(sent)
 		must.NoError(t, err)
 		read, err := decode(line)
 		must.NoError(t, err)
 		must.Eq(t, sent, read)
-		const most = 60
-		must.LessEq(t, most, len(line), must.Sprint(string(line)))
+		const maxLine = 60
+		must.LessEq(t, maxLine, len(line), must.Sprint(string(line)))
 	}
 }
 
-func TestBadMessagesAreRefused(t *testing.T) {
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	for _, line := range []string{
 		"", "{}", "[]", `{"q":1}`, `{"q":1,"t":"press"}`, `{"q":1,"a":1,"t":"press","n":1}`, `{"q":1,"d":1,"t":"press","n":1}`, `{"q":-1,"t":"press","n":1}`, `{"t":"press"}`,
 		`{"t":"press","n":-1}`, `{"q":1,"t":"press","n":1001}`, `{"a":1,"w":-1}`, `{"a":1,"w":9223372036854775807}`, `{"n":1}`,
@@ -59,9 +59,9 @@
 		if err != nil {
 			return
 		}
-		must.Between(t, 0, message.Tokens, mostCount)
-		must.Between(t, 0, message.Wait, mostWait)
-		must.True(t, message.Kind == quota.Answer || message.Kind == quota.Withdrawal || message.Tenant != "" && message.Tokens > 0)
+		must.Between(t, 0, message.Tokens, maxTokens)
+		must.Between(t, 0, message.Wait, maxWait)
+		must.True(t, message.Kind == quota.Reply || message.Kind == quota.Cancel || message.Tenant != "" && message.Tokens > 0)
 		again, err := encode(message)
 		must.NoError(t, err)
 		read, err := decode(again)
@@ -70,13 +70,13 @@
 	})
 }
 
-// tenant may make a request a second and 40 beside.
+// tenant has a limit of one request a second and a burst of 40.
 var tenant = &catalog.Tenant{Name: "press", RatePerSecond: 1, Burst: 40}
 
-// fleet starts keepers on loopback addresses of their own, with a clock that jumps.
+// fleet runs keepers on separate loopback addresses, with a clock that the test can advance.
 type fleet struct {
-	keepers []*Keeper
-	ahead   atomic.Int64 // of the clock, in nanoseconds
+	keepers     []*Keeper
+	clockOffset atomic.Int64 // in nanoseconds
 }
 
 func newFleet(t *testing.T, size int) *fleet {
@@ -86,11 +86,11 @@
 	must.NoError(t, socket.Close())
 	f := &fleet{}
 	start := time.Now().Round(0)
-	now := func() time.Time { return start.Add(time.Duration(f.ahead.Load())) }
-	told := quota.Configured{Tenants: []catalog.Tenant{*tenant}}
+	now := func() time.Time { return start.Add(time.Duration(f.clockOffset.Load())) }
+	configured := quota.Configured{Tenants: []catalog.Tenant{*tenant}}
 	for index := range size {
 		address := fmt.Sprintf("127.96.1.%d", index+1)
-		told.Hosts = append(told.Hosts, quota.Host{Address: address, Zone: fmt.Sprint("z", index%2)})
+		configured.Hosts = append(configured.Hosts, quota.Host{Address: address, Zone: fmt.Sprint("z", index%2)})
 		f.keepers = append(f.keepers, New(Config{
 			Quota: quota.Config{
 				Settings: quota.Settings{Window: 5 * time.Second, Overage: 0.25, Slack: 20},
@@ -102,7 +102,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, size)
 	for _, each := range f.keepers {
-		each.Configure(told)
+		each.Configure(configured)
 		go func() { ended <- each.Run(ctx) }()
 	}
 	t.Cleanup(func() {
@@ -117,14 +117,14 @@
 	return f
 }
 
-// Keepers grant what the limit allows over all of them, and no more; what no worker ran is
-// granted again. Time stands still, so that no token comes and no answer is late.
-func TestKeepersShareALimit(t *testing.T) {
+// Keepers together must grant what the limit allows and no more, and a returned token must be
+// granted again. The clock stands still, so that no tokens are added and no query times out.
+func TestKeepersShareLimit(t *testing.T) {
 	f := newFleet(t, 5)
-	f.ahead.Store(int64(time.Hour))
-	const stripes, whole = 4, 50 // its burst and half of the slack
+	f.clockOffset.Store(int64(time.Hour))
+	const stripes, total = 4, 50 // the burst and half of the slack
 	granted := 0
-	for index := range 2 * whole {
+	for index := range 2 * total {
 		taken, retryAfter := f.keepers[index%len(f.keepers)].Take(t.Context(), tenant)
 		if taken {
 			granted++
@@ -132,27 +132,28 @@
 		}
 		must.Greater(t, 0, retryAfter)
 	}
-	must.Between(t, whole-stripes, granted, whole)
+	must.Between(t, total-stripes, granted, total)
 	f.keepers[0].GiveBack(tenant)
 	taken, _ := f.keepers[0].Take(t.Context(), tenant)
 	must.True(t, taken)
-	must.Greater(t, 0, f.keepers[0].Counted(quota.Refused))
+	must.Greater(t, 0, f.keepers[0].Counted(quota.Rejected))
 }
 
-// Calls don't wait for an owner that has not begun, or has ended.
-func TestCallsEndWithTheirContext(t *testing.T) {
+// Take must return when its context ends, even if the owner goroutine has not started or has
+// ended.
+func TestTakeEndsWithItsContext(t *testing.T) {
 	keeper := New(Config{Listen: netip.MustParseAddrPort("127.0.0.1:0")})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	for range 2 * inputQueue {
+	for range 2 * inputQueueSize {
 		taken, retryAfter := keeper.Take(ctx, tenant)
 		must.False(t, taken)
 		must.Greater(t, 0, retryAfter)
 	}
 }
 
-// BenchmarkTokenInHand is what a request costs whose token is at its node.
-func BenchmarkTokenInHand(b *testing.B) {
+// BenchmarkCachedToken measures Take with a token that is already on the node.
+func BenchmarkCachedToken(b *testing.B) {
 	keeper := New(Config{
 		Quota:  quota.Config{Settings: quota.Settings{Window: 5 * time.Second, Overage: 0.25, Slack: 20}, Self: "127.0.0.1"},
 		Listen: netip.MustParseAddrPort("127.0.0.1:0"),
--- a/internal/quota/keeper/wire.go
+++ b/internal/quota/keeper/wire.go
@@ -8,29 +8,29 @@
 	"sliphead/internal/quota"
 )
 
-// Bounds of what is read.
+// Bounds on received messages.
 const (
-	mostDatagram = 2 << 10     // bytes; names of tenants are the long part
-	mostCount    = 1000        // tokens
-	mostWait     = time.Minute // told by an answer
+	maxDatagram = 2 << 10     // bytes; the name of the tenant is the long part
+	maxTokens   = 1000        // tokens
+	maxWait     = time.Minute // of a reply
 )
 
-// wireMessage is a message between nodes: one line of JSON in one datagram, 20 to 60 bytes
-// beside the tenant's name. A node answers one for most requests, so that keys are short.
+// wireMessage is a message between nodes: one line of JSON in one datagram, 20 to 60 bytes plus
+// the tenant's name. The keys are short because a node sends a reply for most requests.
 type wireMessage struct {
-	Question *uint32 `json:"q,omitempty"` // id of a question
-	Answer   *uint32 `json:"a,omitempty"` // id of the question that is answered
-	Withdraw *uint32 `json:"d,omitempty"` // id of a question whose answer will not be used
+	Query    *uint32 `json:"q,omitempty"` // id of a query
+	Reply    *uint32 `json:"a,omitempty"` // id of the query that is replied to
+	Cancel   *uint32 `json:"d,omitempty"` // id of a query whose reply will not be used
 	Tenant   string  `json:"t,omitempty"`
-	Tokens   int     `json:"n,omitempty"` // wanted, granted or returned
+	Tokens   int     `json:"n,omitempty"` // requested, granted or returned
 	Wait     int64   `json:"w,omitempty"` // milliseconds, rounded up
-	None     bool    `json:"x,omitempty"` // no stripe here
+	NoStripe bool    `json:"x,omitempty"` // the sender has no stripe of the tenant
 }
 
-// ids is how many of the ids are there.
-func (w *wireMessage) ids() int {
+// idCount returns the number of ids that are set.
+func (w *wireMessage) idCount() int {
 	count := 0
-	for _, id := range []*uint32{w.Question, w.Answer, w.Withdraw} {
+	for _, id := range []*uint32{w.Query, w.Reply, w.Cancel} {
 		if id != nil {
 			count++
 		}
@@ -38,47 +38,48 @@
 	return count
 }
 
-// encode returns the line of a message.
+// encode returns the line for a message.
 func encode(message quota.Message) ([]byte, error) {
-	wire := wireMessage{Tenant: message.Tenant, Tokens: message.Tokens, None: message.None}
+	wire := wireMessage{Tenant: message.Tenant, Tokens: message.Tokens, NoStripe: message.NoStripe}
 	wire.Wait = int64((message.Wait + time.Millisecond - 1) / time.Millisecond)
 	switch message.Kind {
-	case quota.Question:
-		wire.Question = &message.ID
-	case quota.Answer:
-		wire.Answer = &message.ID
-	case quota.Withdrawal:
-		wire.Withdraw = &message.ID
+	case quota.Query:
+		wire.Query = &message.ID
+	case quota.Reply:
+		wire.Reply = &message.ID
+	case quota.Cancel:
+		wire.Cancel = &message.ID
 	}
 	line, err := json.Marshal(wire)
 	return append(line, '\n'), err
 }
 
-// decode reads a line.
+// decode parses a line. It returns an error if the line is not exactly one kind of message or a
+// value is out of bounds.
 func decode(line []byte) (quota.Message, error) {
-	const remedy = "find out who sends to the quota port, it is no node of this release"
+	const remedy = "find the sender of the datagrams to the quota port, it is not a node of this release"
 	var wire wireMessage
 	if err := json.Unmarshal(line, &wire); err != nil {
-		return quota.Message{}, fault.Wrap(err, fault.Peer, remedy, "a datagram is no message")
+		return quota.Message{}, fault.Wrap(err, fault.Peer, remedy, "decode quota datagram")
 	}
-	message := quota.Message{Tenant: wire.Tenant, Tokens: wire.Tokens, None: wire.None, Wait: time.Duration(wire.Wait) * time.Millisecond}
-	if wire.Tokens < 0 || wire.Tokens > mostCount || wire.Wait < 0 || wire.Wait > mostWait.Milliseconds() {
-		return quota.Message{}, fault.New(fault.Peer, remedy, "a message has %d tokens and a wait of %d ms", wire.Tokens, wire.Wait)
+	message := quota.Message{Tenant: wire.Tenant, Tokens: wire.Tokens, NoStripe: wire.NoStripe, Wait: time.Duration(wire.Wait) * time.Millisecond}
+	if wire.Tokens < 0 || wire.Tokens > maxTokens || wire.Wait < 0 || wire.Wait > maxWait.Milliseconds() {
+		return quota.Message{}, fault.New(fault.Peer, remedy, "quota message out of bounds: %d tokens, wait of %d ms", wire.Tokens, wire.Wait)
 	}
 	isRequest := wire.Tenant != "" && wire.Tokens > 0
-	switch ids := wire.ids(); {
+	switch ids := wire.idCount(); {
 	case ids == 0 && isRequest:
 		message.Kind = quota.Return
 	case ids != 1:
-	case wire.Question != nil && isRequest:
-		message.Kind, message.ID = quota.Question, *wire.Question
-	case wire.Answer != nil:
-		message.Kind, message.ID = quota.Answer, *wire.Answer
-	case wire.Withdraw != nil:
-		message.Kind, message.ID = quota.Withdrawal, *wire.Withdraw
+	case wire.Query != nil && isRequest:
+		message.Kind, message.ID = quota.Query, *wire.Query
+	case wire.Reply != nil:
+		message.Kind, message.ID = quota.Reply, *wire.Reply
+	case wire.Cancel != nil:
+		message.Kind, message.ID = quota.Cancel, *wire.Cancel
 	}
 	if message.Kind == 0 {
-		return quota.Message{}, fault.New(fault.Peer, remedy, "a message is no question, answer, withdrawal or return")
+		return quota.Message{}, fault.New(fault.Peer, remedy, "quota message is not a query, reply, cancellation or return")
 	}
 	return message, nil
 }
--- a/internal/quota/machine.go
+++ b/internal/quota/machine.go
@@ -7,77 +7,77 @@
 	"sliphead/internal/catalog"
 )
 
-// Config tunes one node's machine.
+// Config configures the state machine of one node.
 type Config struct {
 	Settings Settings
 	Self     string // IP address by which other nodes reach this one
 	Zone     string
 	Region   string
-	// Lag is the time within which all nodes in touch know a change of the catalog.
+	// Lag is the time within which all connected nodes observe a change of the catalog.
 	Lag    time.Duration
 	Random rand.Source
 }
 
-// idleStep is how often time passes for a node that waits for nothing.
-const idleStep = time.Second
+// idleTickInterval is the time until the next Tick when nothing else is due.
+const idleTickInterval = time.Second
 
 // Machine is the state of one node. It is not safe for use by several goroutines.
 type Machine struct {
-	config    Config
-	random    *rand.Rand
-	started   time.Time
-	hosts     *hosts
-	tenants   map[string]*tenant   // those with a limit, by name
-	creditors map[string]*tenant   // those with tokens in hand
-	silent    map[string]time.Time // by host: until when it is asked last
-	wants     map[uint64]*want
-	questions []*question            // by rising id
-	grants    map[grantKey]grantMade // to others, of late
-	nextID    uint32
-	out       []Effect
+	config            Config
+	random            *rand.Rand
+	started           time.Time
+	hosts             *hosts
+	tenants           map[string]*tenantState // with a limit, by name
+	tenantsWithTokens map[string]*tenantState // with unused tokens, by name
+	unresponsiveUntil map[string]time.Time    // by host address; such a host is queried last until then
+	waiting           map[uint64]*waitingRequest
+	queries           []*query                 // awaiting replies, by ascending id
+	recentGrants      map[grantKey]recentGrant // made to other nodes and still cancellable
+	lastID            uint32
+	out               []Effect
 }
 
-// New returns the machine of a node that knows nothing.
+// New returns the state machine of a node without any configuration.
 func New(config Config, now time.Time) *Machine {
-	m := &Machine{config: config, random: rand.New(config.Random), started: now, hosts: newHosts(), tenants: map[string]*tenant{}, creditors: map[string]*tenant{}, silent: map[string]time.Time{}, wants: map[uint64]*want{}, grants: map[grantKey]grantMade{}}
-	const half = 1 << 31 // so that ids rise for long, and differ from those before a restart
-	m.nextID = m.random.Uint32N(half)
+	m := &Machine{config: config, random: rand.New(config.Random), started: now, hosts: newHosts(), tenants: map[string]*tenantState{}, tenantsWithTokens: map[string]*tenantState{}, unresponsiveUntil: map[string]time.Time{}, waiting: map[uint64]*waitingRequest{}, recentGrants: map[grantKey]recentGrant{}}
+	const half = 1 << 31 // leaves room to count up, and makes reuse of an id after a restart unlikely
+	m.lastID = m.random.Uint32N(half)
 	return m
 }
 
-// tenant is what a node knows of a tenant.
-type tenant struct {
-	name       string
-	rate       float64   // requests a second
-	burst      float64   // requests
-	changed    time.Time // when its limit last did, but for the first configuration
-	generation uint64    // of the hosts that holders and share were made of, 0: none
-	holders    []holder  // of its stripes
-	share      int       // tokens that this node may spend alone in a window
-	own        *stripe   // nil: the node holds none
-	alone      []time.Time
-	toldAlone  time.Time // when Unreachable was told last
-	credits    []credit
-	spent      []credit  // in requests that may still give them back
-	demand     float64   // requests a second, of late
-	demandAt   time.Time // of demand
+// tenantState is a node's state for one tenant with a limit.
+type tenantState struct {
+	name                string
+	rate                float64   // requests a second
+	burst               float64   // requests
+	limitChanged        time.Time // time of the last change of the limit; zero for the first configuration
+	hostsGeneration     uint64    // hosts.generation from which holders and fallbackShare were computed; 0: none
+	holders             []holder  // the nodes of its stripes
+	fallbackShare       int       // tokens per window that this node may spend while it reaches no stripe
+	ownStripe           *stripe   // nil: this node has no stripe
+	fallbackSpent       []time.Time
+	reportedUnreachable time.Time // time of the last Unreachable effect
+	cached              []tokenBatch
+	spent               []tokenBatch // tokens of requests that may still be returned
+	demand              float64      // recent requests per second
+	demandAt            time.Time    // time of the last update of demand
 }
 
-// Step takes one event and returns the effects, to be carried out in order.
+// Step processes one event and returns the effects, to be carried out in order.
 func (m *Machine) Step(event Event, now time.Time) []Effect {
 	m.out = nil
 	switch event := event.(type) {
 	case Tick:
 		m.expire(now)
 	case Configured:
-		m.configure(event, now)
-	case Wanted:
-		m.onWanted(event, now)
+		m.onConfigured(event, now)
+	case TokenRequested:
+		m.onTokenRequested(event, now)
 	case Cancelled:
-		delete(m.wants, event.ID)
-	case Returned:
-		m.onReturned(event.Tenant, now)
-	case Heard:
+		delete(m.waiting, event.ID)
+	case TokenReturned:
+		m.onTokenReturned(event.Tenant, now)
+	case MessageReceived:
 		m.onMessage(event, now)
 	}
 	return m.out
@@ -85,90 +85,92 @@
 
 func (m *Machine) emit(effect Effect) { m.out = append(m.out, effect) }
 
-// configure takes in what the catalog says.
-func (m *Machine) configure(event Configured, now time.Time) {
+// onConfigured applies a new configuration.
+func (m *Machine) onConfigured(event Configured, now time.Time) {
 	m.hosts.update(event.Hosts, now)
 	first := len(m.tenants) == 0
-	named := make(map[string]bool, len(event.Tenants))
+	limited := make(map[string]bool, len(event.Tenants))
 	for index := range event.Tenants {
-		told := &event.Tenants[index]
-		if told.RatePerSecond > 0 {
-			named[told.Name] = true
-			m.limit(told, first, now)
+		configured := &event.Tenants[index]
+		if configured.RatePerSecond > 0 {
+			limited[configured.Name] = true
+			m.setLimit(configured, first, now)
 		}
 	}
 	for name := range m.tenants {
-		if !named[name] {
+		if !limited[name] {
 			delete(m.tenants, name)
-			delete(m.creditors, name)
+			delete(m.tenantsWithTokens, name)
 		}
 	}
 }
 
-// limit takes in a tenant's limit.
-func (m *Machine) limit(told *catalog.Tenant, first bool, now time.Time) {
-	held := m.tenants[told.Name]
-	if held == nil {
-		held = &tenant{}
-		m.tenants[told.Name] = held
+// setLimit applies a tenant's limit.
+func (m *Machine) setLimit(configured *catalog.Tenant, first bool, now time.Time) {
+	tenant := m.tenants[configured.Name]
+	if tenant == nil {
+		tenant = &tenantState{}
+		m.tenants[configured.Name] = tenant
 	}
-	if held.rate == told.RatePerSecond && held.burst == told.Burst {
+	if tenant.rate == configured.RatePerSecond && tenant.burst == configured.Burst {
 		return
 	}
-	held.name, held.rate, held.burst = told.Name, told.RatePerSecond, told.Burst
-	held.generation = 0
+	tenant.name, tenant.rate, tenant.burst = configured.Name, configured.RatePerSecond, configured.Burst
+	tenant.hostsGeneration = 0
 	if !first {
-		held.changed = now
+		tenant.limitChanged = now
 	}
 }
 
-// find returns a tenant with its stripes placed, nil if it is not known or has no limit.
-func (m *Machine) find(name string, now time.Time) *tenant {
-	held := m.tenants[name]
-	if held != nil {
-		m.place(held, now)
+// find returns a tenant with its stripes placed, or nil if it is unknown or has no limit.
+func (m *Machine) find(name string, now time.Time) *tenantState {
+	tenant := m.tenants[name]
+	if tenant != nil {
+		m.placeStripes(tenant, now)
 	}
-	return held
+	return tenant
 }
 
-// place finds the nodes of a tenant's stripes, anew when nodes or limits have changed.
-func (m *Machine) place(held *tenant, now time.Time) {
-	if held.generation == m.hosts.generation {
+// placeStripes assigns a tenant's stripes to nodes; it recomputes them after a change of the
+// nodes or of the limit.
+func (m *Machine) placeStripes(tenant *tenantState, now time.Time) {
+	if tenant.hostsGeneration == m.hosts.generation {
 		return
 	}
-	held.generation = m.hosts.generation
-	count := m.config.Settings.stripes(held.rate, held.burst, len(m.hosts.byZone), len(m.hosts.known))
-	before := held.holders
-	held.holders = make([]holder, 0, count)
-	own := false
-	for _, host := range m.hosts.deal(held.name, count) {
-		own = own || host.Address == m.config.Self
-		held.holders = append(held.holders, m.holderOf(host, before))
-	}
-	held.share = m.shareOf(held)
-	m.placeOwn(held, own, count, now)
+	tenant.hostsGeneration = m.hosts.generation
+	count := m.config.Settings.stripes(tenant.rate, tenant.burst, len(m.hosts.byZone), len(m.hosts.byAddress))
+	previous := tenant.holders
+	tenant.holders = make([]holder, 0, count)
+	ownsStripe := false
+	for _, host := range m.hosts.deal(tenant.name, count) {
+		ownsStripe = ownsStripe || host.Address == m.config.Self
+		tenant.holders = append(tenant.holders, m.holderOf(host, previous))
+	}
+	tenant.fallbackShare = m.fallbackShareOf(tenant)
+	m.updateOwnStripe(tenant, ownsStripe, count, now)
 }
 
-// placeOwn starts, limits or drops the stripe of this node.
-func (m *Machine) placeOwn(held *tenant, own bool, count int, now time.Time) {
-	if !own {
-		held.own = nil
+// updateOwnStripe creates, resizes or drops this node's stripe.
+func (m *Machine) updateOwnStripe(tenant *tenantState, ownsStripe bool, count int, now time.Time) {
+	if !ownsStripe {
+		tenant.ownStripe = nil
 		return
 	}
-	rate, capacity := held.rate/float64(count), m.config.Settings.capacity(held.burst)/float64(count)
-	if held.own == nil {
-		held.own = newStripe(rate, capacity, m.countsFrom(held))
+	rate, capacity := tenant.rate/float64(count), m.config.Settings.capacity(tenant.burst)/float64(count)
+	if tenant.ownStripe == nil {
+		tenant.ownStripe = newStripe(rate, capacity, m.fillsFrom(tenant))
 	}
-	held.own.limit(rate, capacity, now)
+	tenant.ownStripe.setLimit(rate, capacity, now)
 }
 
-// countsFrom is from when a stripe fills that this node begins to hold. Another node may
-// have held it until it heard of what changed. A node that starts doesn't wait for that:
-// most had the same stripes before, and a newcomer takes those of a fifth of the others at
-// worst when a quarter is added.
-func (m *Machine) countsFrom(held *tenant) time.Time {
+// fillsFrom returns the time from which a new stripe of this node fills. Until a change has
+// reached all nodes, the previous node of the stripe may still grant its tokens. A node that
+// starts does not wait for its own record to propagate: most nodes had the same stripes before
+// the restart, and if a quarter of new nodes is added, a new node takes over the stripes of a
+// fifth of the others at worst.
+func (m *Machine) fillsFrom(tenant *tenantState) time.Time {
 	from := m.started
-	for _, changed := range []time.Time{m.hosts.changed, held.changed} {
+	for _, changed := range []time.Time{m.hosts.changedAt, tenant.limitChanged} {
 		if !changed.IsZero() {
 			from = later(from, changed.Add(m.config.Lag))
 		}
@@ -176,14 +178,14 @@
 	return from
 }
 
-// Due is when the next Tick is due, if no other event comes before.
+// Due returns the time of the next Tick if no other event comes first.
 func (m *Machine) Due(now time.Time) time.Time {
-	due := now.Add(idleStep)
-	for _, asked := range m.questions {
-		due = earlier(due, asked.until)
+	due := now.Add(idleTickInterval)
+	for _, pending := range m.queries {
+		due = earlier(due, pending.deadline)
 	}
-	for _, held := range m.creditors {
-		due = earlier(due, held.credits[0].at.Add(m.config.Settings.life()/2))
+	for _, tenant := range m.tenantsWithTokens {
+		due = earlier(due, tenant.cached[0].requestedAt.Add(m.config.Settings.tokenLife()/2))
 	}
 	return later(due, now)
 }
@@ -195,22 +197,22 @@
 	return b
 }
 
-// Status is what a machine tells operators.
+// Status is the state reported to operators.
 type Status struct {
 	Tenants int `json:"tenants"` // with a limit
-	Stripes int `json:"stripes"` // that this node holds and was asked for
-	Credits int `json:"credits"` // tokens in hand
+	Stripes int `json:"stripes"` // on this node, of tenants that had a request or query here
+	Credits int `json:"credits"` // unused tokens on this node
 }
 
-// Status tells the state of now.
+// Status returns the current state.
 func (m *Machine) Status() Status {
 	status := Status{Tenants: len(m.tenants)}
-	for _, held := range m.tenants {
-		if held.own != nil {
+	for _, tenant := range m.tenants {
+		if tenant.ownStripe != nil {
 			status.Stripes++
 		}
-		for _, each := range held.credits {
-			status.Credits += each.tokens
+		for _, batch := range tenant.cached {
+			status.Credits += batch.tokens
 		}
 	}
 	return status
--- a/internal/quota/placement.go
+++ b/internal/quota/placement.go
@@ -7,123 +7,125 @@
 	"time"
 )
 
-// Host is a node that may hold stripes.
+// Host is a node that may have stripes.
 type Host struct {
-	Address string // IP address by which others reach it
+	Address string // IP address by which other nodes reach it
 	Zone    string
 	Region  string
 }
 
-// hostMemory is for how long a node holds its stripes after its record is gone. It is
-// restarted, replaced or cut off from the store meanwhile: if others took its stripes at
-// once, a node that lives would spend them as well. A stripe without a node lies idle.
-const hostMemory = time.Minute
+// hostRetention is how long a node keeps its stripes after its record is removed. Its process
+// may be restarting, being replaced or cut off from the store: if others took over its stripes
+// at once, a node that still runs would grant the same tokens again. The stripes of a node that
+// is down are unused for that time.
+const hostRetention = time.Minute
 
-// hosts are the nodes that may hold stripes.
+// hosts is the set of nodes that may have stripes.
 type hosts struct {
-	known      map[string]*knownHost // by address
-	generation uint64                // rises when the set changes
-	changed    time.Time             // when it last did, but for the first time
-	byZone     map[string][]listedHost
+	byAddress  map[string]*hostRecord
+	generation uint64    // incremented when the set changes
+	changedAt  time.Time // time of the last change; zero for the first configuration
+	byZone     map[string][]hashedHost
 }
 
-type knownHost struct {
+type hostRecord struct {
 	Host
-	gone time.Time // since when its record is missing, zero while it is there
+	missingSince time.Time // since when its record is missing; zero while it is present
 }
 
-func newHosts() *hosts { return &hosts{known: map[string]*knownHost{}} }
+func newHosts() *hosts { return &hosts{byAddress: map[string]*hostRecord{}} }
 
-// update takes in the records of now.
+// update applies the nodes that are currently in the catalog.
 func (h *hosts) update(recorded []Host, now time.Time) {
-	before := h.generation
-	missing := make(map[string]bool, len(h.known))
-	for address := range h.known {
+	previous := h.generation
+	missing := make(map[string]bool, len(h.byAddress))
+	for address := range h.byAddress {
 		missing[address] = true
 	}
 	for _, host := range recorded {
 		delete(missing, host.Address)
-		h.take(host, before)
+		h.upsert(host, previous)
 	}
 	for address := range missing {
-		if held := h.known[address]; held.gone.IsZero() {
-			held.gone = now
+		if record := h.byAddress[address]; record.missingSince.IsZero() {
+			record.missingSince = now
 		}
 	}
-	h.settle(before, now)
+	h.finishUpdate(previous, now)
 }
 
-// take takes in a host that is on record.
-func (h *hosts) take(host Host, before uint64) {
-	held := h.known[host.Address]
-	if held == nil || held.Host != host {
-		h.known[host.Address] = &knownHost{Host: host}
-		h.generation = before + 1
+// upsert adds or updates a host that is in the catalog.
+func (h *hosts) upsert(host Host, previous uint64) {
+	record := h.byAddress[host.Address]
+	if record == nil || record.Host != host {
+		h.byAddress[host.Address] = &hostRecord{Host: host}
+		h.generation = previous + 1
 		return
 	}
-	held.gone = time.Time{}
+	record.missingSince = time.Time{}
 }
 
-// expire forgets hosts whose records are gone for long.
+// expire removes hosts whose records have been missing for hostRetention.
 func (h *hosts) expire(now time.Time) {
-	before := h.generation
-	for address, held := range h.known {
-		if !held.gone.IsZero() && now.Sub(held.gone) > hostMemory {
-			delete(h.known, address)
-			h.generation = before + 1
+	previous := h.generation
+	for address, record := range h.byAddress {
+		if !record.missingSince.IsZero() && now.Sub(record.missingSince) > hostRetention {
+			delete(h.byAddress, address)
+			h.generation = previous + 1
 		}
 	}
-	h.settle(before, now)
+	h.finishUpdate(previous, now)
 }
 
-// settle notes a change of the set.
-func (h *hosts) settle(before uint64, now time.Time) {
-	if h.generation == before {
+// finishUpdate records the time of a change of the set and rebuilds the index.
+func (h *hosts) finishUpdate(previous uint64, now time.Time) {
+	if h.generation == previous {
 		return
 	}
-	if before > 0 {
-		h.changed = now
+	if previous > 0 {
+		h.changedAt = now
 	}
-	h.list()
+	h.indexZones()
 }
 
-// list sorts the hosts by zone.
-func (h *hosts) list() {
-	h.byZone = map[string][]listedHost{}
-	for _, host := range h.known {
-		h.byZone[host.Zone] = append(h.byZone[host.Zone], listedHost{Host: host.Host, hash: hashOf(host.Address)})
+// indexZones groups the hosts by zone.
+func (h *hosts) indexZones() {
+	h.byZone = map[string][]hashedHost{}
+	for _, host := range h.byAddress {
+		h.byZone[host.Zone] = append(h.byZone[host.Zone], hashedHost{Host: host.Host, hash: hashOf(host.Address)})
 	}
 }
 
-// listedHost is a host with the hash of its address.
-type listedHost struct {
+// hashedHost is a host with the hash of its address.
+type hashedHost struct {
 	Host
 	hash uint64
 }
 
-// rankedHost is a host with its rank for one tenant: the lower the sooner.
+// rankedHost is a host with its rank for one tenant. Stripes go to the lowest ranks first.
 type rankedHost struct {
 	Host
 	rank uint64
 }
 
-// before orders hosts by their ranks.
+// before orders hosts by rank, then by address.
 func (r rankedHost) before(other rankedHost) bool {
 	return r.rank < other.rank || r.rank == other.rank && r.Address < other.Address
 }
 
-// rank is that of a host for a tenant. A host that comes or goes changes no other's.
-func (l listedHost) rank(tenant uint64) rankedHost {
+// rank returns a host's rank for a tenant. It does not depend on other hosts, so that adding or
+// removing a host changes no other rank.
+func (l hashedHost) rank(tenant uint64) rankedHost {
 	return rankedHost{Host: l.Host, rank: mix(l.hash ^ tenant)}
 }
 
-// deal returns the hosts of so many stripes of a tenant: the first by rank of each zone, one
-// zone after the other.
+// deal returns the hosts for a number of stripes of a tenant, by rank within each zone and
+// round robin over the zones.
 func (h *hosts) deal(tenant string, count int) []Host {
 	hash := hashOf(tenant)
 	firsts := make([][]rankedHost, 0, len(h.byZone))
-	for _, listed := range h.byZone {
-		firsts = append(firsts, firstByRank(listed, hash, count))
+	for _, hosts := range h.byZone {
+		firsts = append(firsts, firstByRank(hosts, hash, count))
 	}
 	slices.SortFunc(firsts, func(a, b []rankedHost) int { return cmp.Compare(a[0].rank, b[0].rank) })
 	holders := make([]Host, 0, count)
@@ -137,52 +139,52 @@
 	return holders
 }
 
-// firstByRank returns up to so many hosts, in the order of their ranks. A sort of all 850
-// hosts of a large mesh took nine times as long (1.2 ms in place of 0.13, beside other work).
-func firstByRank(listed []listedHost, tenant uint64, count int) []rankedHost {
+// firstByRank returns up to count hosts with the lowest ranks, in order. Sorting all 850 hosts
+// of a large mesh took nine times as long (1.2 ms instead of 0.13 ms, on a busy machine).
+func firstByRank(hosts []hashedHost, tenant uint64, count int) []rankedHost {
 	firsts := make([]rankedHost, 0, count+1)
-	for _, host := range listed {
+	for _, host := range hosts {
 		ranked := host.rank(tenant)
 		if len(firsts) == count && !ranked.before(firsts[count-1]) {
 			continue
 		}
-		place := len(firsts)
-		for place > 0 && ranked.before(firsts[place-1]) {
-			place--
+		position := len(firsts)
+		for position > 0 && ranked.before(firsts[position-1]) {
+			position--
 		}
-		firsts = slices.Insert(firsts, place, ranked)
+		firsts = slices.Insert(firsts, position, ranked)
 		firsts = firsts[:min(count, len(firsts))]
 	}
 	return firsts
 }
 
-// place is how many hosts come before one by their ranks for a tenant, false if it is none
-// of them.
-func (h *hosts) place(tenant, address string) (place int, known bool) {
-	self := h.known[address]
+// position returns the number of hosts with a lower rank for a tenant than the host at the
+// address, and false if that host is not in the set.
+func (h *hosts) position(tenant, address string) (position int, found bool) {
+	self := h.byAddress[address]
 	if self == nil {
 		return 0, false
 	}
 	hash := hashOf(tenant)
-	own := listedHost{Host: self.Host, hash: hashOf(address)}.rank(hash)
+	own := hashedHost{Host: self.Host, hash: hashOf(address)}.rank(hash)
 	for _, listed := range h.byZone {
 		for _, host := range listed {
 			if host.rank(hash).before(own) {
-				place++
+				position++
 			}
 		}
 	}
-	return place, true
+	return position, true
 }
 
 func hashOf(text string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(text)) // never fails
+	_, _ = hash.Write([]byte(text)) // never returns an error
 	return mix(hash.Sum64())
 }
 
-// mix spreads each bit over all: names that differ in their last sign alone differ in few
-// bits of the plain hash.
+// mix spreads each bit over all bits: the plain hashes of names that differ only in their last
+// character differ in few bits.
 func mix(sum uint64) uint64 {
 	sum = (sum ^ sum>>33) * 0xff51afd7ed558ccd
 	sum = (sum ^ sum>>33) * 0xc4ceb9fe1a85ec53
--- a/internal/quota/placement_test.go
+++ b/internal/quota/placement_test.go
@@ -18,18 +18,18 @@
 	return made
 }
 
-// Each zone holds as many stripes as another, give or take one, as far as it has hosts; a
-// host holds one at most; and a host that comes or goes moves one stripe at most.
-func TestStripesAreDealtOverZones(t *testing.T) {
+// Zones must have equal numbers of stripes, give or take one, as far as they have enough hosts;
+// a host must have at most one stripe; and adding or removing a host must move few stripes.
+func TestStripesAreSpreadOverZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones, count := rapid.IntRange(1, 8).Draw(t, "zones"), rapid.IntRange(1, 60).Draw(t, "hosts")
 		tenant := rapid.StringN(1, 20, -1).Draw(t, "tenant")
 		all := hostsIn(zones, count)
-		known := newHosts()
-		known.update(all, began)
-		stripes := exampleSettings.stripes(rapid.Float64Range(0.1, 2000).Draw(t, "rate"), rapid.Float64Range(0, 2000).Draw(t, "burst"), len(known.byZone), count)
+		nodes := newHosts()
+		nodes.update(all, startTime)
+		stripes := exampleSettings.stripes(rapid.Float64Range(0.1, 2000).Draw(t, "rate"), rapid.Float64Range(0, 2000).Draw(t, "burst"), len(nodes.byZone), count)
 		must.Between(t, 1, stripes, count)
-		before := known.deal(tenant, stripes)
+		before := nodes.deal(tenant, stripes)
 		must.Len(t, stripes, before)
 		inZone, seen := map[string]int{}, map[string]bool{}
 		for _, each := range before {
@@ -44,15 +44,15 @@
 					hostsOfZone++
 				}
 			}
-			must.GreaterEq(t, min(stripes/len(known.byZone), hostsOfZone), inZone[each.Zone])
+			must.GreaterEq(t, min(stripes/len(nodes.byZone), hostsOfZone), inZone[each.Zone])
 		}
 		if count < 2 {
 			return
 		}
-		gone := rapid.IntRange(0, count-1).Draw(t, "gone")
+		removed := rapid.IntRange(0, count-1).Draw(t, "gone")
 		fewer := newHosts()
-		fewer.update(append(append([]Host{}, all[:gone]...), all[gone+1:]...), began)
-		if len(fewer.byZone) != len(known.byZone) {
+		fewer.update(append(append([]Host{}, all[:removed]...), all[removed+1:]...), startTime)
+		if len(fewer.byZone) != len(nodes.byZone) {
 			return
 		}
 		moved := 0
@@ -65,33 +65,34 @@
 	})
 }
 
-// A host whose record is gone keeps its stripes for a minute, and one that is back moves
-// none. While nothing is heard, as behind a cut, none is forgotten.
-func TestHostsAreRemembered(t *testing.T) {
-	known := newHosts()
+// A host whose record is missing must keep its stripes for hostRetention, and must move none if
+// it returns. Without updates, as in a partition, no host may be removed.
+func TestMissingHostsAreRetained(t *testing.T) {
+	nodes := newHosts()
 	all := hostsIn(2, 6)
-	known.update(all, began)
-	must.True(t, known.changed.IsZero(), must.Sprint("what is known first is no change"))
-	known.update(all[1:], began.Add(time.Second))
-	known.expire(began.Add(hostMemory))
-	must.Eq(t, 1, known.generation)
-	known.update(all, began.Add(hostMemory))
-	known.update(all[1:], began.Add(2*hostMemory))
-	known.expire(began.Add(3 * hostMemory))
-	must.Eq(t, 1, known.generation)
-	known.expire(began.Add(3*hostMemory + time.Second))
-	must.Eq(t, 2, known.generation)
-	must.Eq(t, 5, len(known.known))
+	nodes.update(all, startTime)
+	must.True(t, nodes.changedAt.IsZero(), must.Sprint("the first configuration is not a change"))
+	nodes.update(all[1:], startTime.Add(time.Second))
+	nodes.expire(startTime.Add(hostRetention))
+	must.Eq(t, 1, nodes.generation)
+	nodes.update(all, startTime.Add(hostRetention))
+	nodes.update(all[1:], startTime.Add(2*hostRetention))
+	nodes.expire(startTime.Add(3 * hostRetention))
+	must.Eq(t, 1, nodes.generation)
+	nodes.expire(startTime.Add(3*hostRetention + time.Second))
+	must.Eq(t, 2, nodes.generation)
+	must.Eq(t, 5, len(nodes.byAddress))
 }
 
-// BenchmarkPlacement is what a node does once for a tenant after nodes have come or gone.
+// BenchmarkPlacement measures the placement of one tenant's stripes, which a node does after a
+// change of the nodes.
 func BenchmarkPlacement(b *testing.B) {
 	const nodes, zones = 850, 8
-	m := New(Config{Settings: exampleSettings, Self: "10.0.0.1", Random: rand.NewPCG(1, 0)}, began)
-	m.hosts.update(hostsIn(zones, nodes), began)
-	held := &tenant{name: "press", rate: 251, burst: 251}
+	m := New(Config{Settings: exampleSettings, Self: "10.0.0.1", Random: rand.NewPCG(1, 0)}, startTime)
+	m.hosts.update(hostsIn(zones, nodes), startTime)
+	tenant := &tenantState{name: "press", rate: 251, burst: 251}
 	for b.Loop() {
-		held.generation = 0
-		m.place(held, began)
+		tenant.hostsGeneration = 0
+		m.placeStripes(tenant, startTime)
 	}
 }
--- a/internal/quota/stripe.go
+++ b/internal/quota/stripe.go
@@ -4,75 +4,74 @@
 	"time"
 )
 
-// stripe is a token bucket: a part of a tenant's limit, in the memory of one node.
+// stripe is a token bucket for one part of a tenant's limit, in the memory of one node.
 type stripe struct {
-	rate     float64 // tokens a second
-	capacity float64 // tokens
-	level    float64 // tokens, at filled
-	filled   time.Time
-	booked   time.Time // until when the tokens to come are promised to those who were refused
+	rate          float64 // tokens a second
+	capacity      float64 // tokens
+	level         float64 // tokens at filledAt
+	filledAt      time.Time
+	reservedUntil time.Time // future tokens up to this time are promised to rejected requests
 }
 
-// mostBooked bounds for how long in advance tokens are promised. A node that sees a flood is
-// told of each stripe once or twice a second, so that the first room of 16 stripes is mostly
-// less than 100 ms away. With 5 s a node sends a third less messages in a flood, with 250 ms
-// twice as many, and no more of what lies within the limit is served.
-const mostBooked = time.Second
+// maxReservation bounds how far in advance tokens are promised. During a flood a node receives
+// a wait from each stripe once or twice a second, so that the shortest wait of 16 stripes is
+// mostly below 100 ms. With 5 s a node sends a third fewer messages in a flood and with 250 ms
+// twice as many, but neither serves more of the requests within the limit.
+const maxReservation = time.Second
 
-// leastCapacity lets each stripe grant a token.
-const leastCapacity = 1
+// minCapacity is the minimum capacity, in tokens, so that each stripe can grant one.
+const minCapacity = 1
 
-// newStripe returns an empty stripe that fills from a moment on.
+// newStripe returns an empty stripe that fills from a given time.
 func newStripe(rate, capacity float64, from time.Time) *stripe {
-	return &stripe{rate: rate, capacity: max(leastCapacity, capacity), filled: from}
+	return &stripe{rate: rate, capacity: max(minCapacity, capacity), filledAt: from}
 }
 
-// limit sets rate and capacity. A higher limit fills up by time alone, a lower one cuts
-// the level at once.
-func (s *stripe) limit(rate, capacity float64, now time.Time) {
+// setLimit sets rate and capacity. After an increase the level rises only with time; after a
+// decrease it is cut to the new capacity at once.
+func (s *stripe) setLimit(rate, capacity float64, now time.Time) {
 	s.fill(now)
-	s.rate, s.capacity = rate, max(leastCapacity, capacity)
+	s.rate, s.capacity = rate, max(minCapacity, capacity)
 	s.level = min(s.level, s.capacity)
 }
 
-// fill adds what has come since the last time. Before the time from which the stripe counts,
-// nothing comes.
+// fill adds the tokens since the last call. No tokens are added before the stripe's start time.
 func (s *stripe) fill(now time.Time) {
-	if passed := now.Sub(s.filled); passed > 0 {
-		s.level = min(s.capacity, s.level+s.rate*passed.Seconds())
-		s.filled = now
+	if elapsed := now.Sub(s.filledAt); elapsed > 0 {
+		s.level = min(s.capacity, s.level+s.rate*elapsed.Seconds())
+		s.filledAt = now
 	}
 }
 
-// take takes up to so many tokens. Without one it tells after how long there is one for
-// this asker, if those who were refused before come back as told.
-func (s *stripe) take(wanted int, now time.Time) (granted int, wait time.Duration) {
+// take grants up to the requested number of tokens. If it grants none, wait is the time until a
+// token for this caller, provided that callers rejected before it retry when they were told to.
+func (s *stripe) take(requested int, now time.Time) (granted int, wait time.Duration) {
 	s.fill(now)
-	granted = min(wanted, int(s.level))
+	granted = min(requested, int(s.level))
 	s.level -= float64(granted)
 	if granted > 0 {
 		return granted, 0
 	}
-	return 0, s.book(now)
+	return 0, s.reserve(now)
 }
 
-func (s *stripe) book(now time.Time) time.Duration {
-	next := later(now, s.filled).Add(s.timeFor(1 - s.level))
-	booked := s.booked.Add(s.timeFor(1))
-	if booked.Before(next) || booked.Sub(now) > mostBooked {
-		booked = next
+func (s *stripe) reserve(now time.Time) time.Duration {
+	next := later(now, s.filledAt).Add(s.fillTime(1 - s.level))
+	reserved := s.reservedUntil.Add(s.fillTime(1))
+	if reserved.Before(next) || reserved.Sub(now) > maxReservation {
+		reserved = next
 	}
-	s.booked = booked
-	return booked.Sub(now)
+	s.reservedUntil = reserved
+	return reserved.Sub(now)
 }
 
-// timeFor is the time in which so many tokens come.
-func (s *stripe) timeFor(tokens float64) time.Duration {
+// fillTime returns the time in which the stripe receives a number of tokens.
+func (s *stripe) fillTime(tokens float64) time.Duration {
 	return time.Duration(tokens / s.rate * float64(time.Second))
 }
 
-// giveBack takes tokens back that were not used.
-func (s *stripe) giveBack(tokens int, now time.Time) {
+// returnTokens puts unused tokens back.
+func (s *stripe) returnTokens(tokens int, now time.Time) {
 	s.fill(now)
 	s.level = min(s.capacity, s.level+float64(tokens))
 }
