--- a/internal/quarantine/event.go
+++ b/internal/quarantine/event.go
@@ -5,90 +5,91 @@
 // Event is an input of the machine.
 type Event interface{ event() }
 
-// Tick lets time pass. Machine.Due says when it is due.
+// Tick reports the passing of time. Machine.Due returns when the next one is due.
 type Tick struct{}
 
-// WorkerCrashed tells that the worker beside this node ended while it ran these requests.
+// WorkerCrashed reports that the local worker crashed while it ran these requests.
 type WorkerCrashed struct {
 	Instance string
 	Requests []Fingerprint
 }
 
-// Answered tells that the worker beside this node answered a request that is suspected or
-// on trial: it does not end workers.
+// Answered reports that the local worker responded to a request that is suspected or on trial,
+// which shows that the request does not crash workers.
 type Answered struct {
 	Fingerprint Fingerprint
 	Instance    string
 }
 
-// TrialBegins tells that a request on trial is about to be sent to the worker beside this
-// node. It counts before it is sent: one whose end nobody sees is not made again.
-type TrialBegins struct {
+// TrialStarted reports that a request on trial is about to be sent to the local worker. It is
+// recorded before the request is sent, so that a trial whose outcome nobody observes is not
+// repeated.
+type TrialStarted struct {
 	Fingerprint Fingerprint
 	Instance    string
 }
 
-// LetGo is an operator's order to send a request to workers again.
-type LetGo struct {
+// ReleaseOrdered is an operator's order to send a request to workers again.
+type ReleaseOrdered struct {
 	Fingerprint Fingerprint
 	By          string
 }
 
-// Peers are the addresses of the other nodes, as the catalog tells them.
+// Peers carries the addresses of all nodes in the catalog. The node's own address is ignored.
 type Peers struct{ Addresses []string }
 
-// Heard is a message of another node.
-type Heard struct{ Message Message }
+// MessageReceived delivers a message of another node.
+type MessageReceived struct{ Message Message }
 
-func (Tick) event()          {}
-func (WorkerCrashed) event() {}
-func (Answered) event()      {}
-func (TrialBegins) event()   {}
-func (LetGo) event()         {}
-func (Peers) event()         {}
-func (Heard) event()         {}
+func (Tick) event()            {}
+func (WorkerCrashed) event()   {}
+func (Answered) event()        {}
+func (TrialStarted) event()    {}
+func (ReleaseOrdered) event()  {}
+func (Peers) event()           {}
+func (MessageReceived) event() {}
 
-// Message is what two nodes tell each other.
+// Message is a message between two nodes.
 type Message struct {
-	From    string // address of the sender
-	Sum     uint64 // of all that the sender knows: equal sums are equal knowledge
-	Ask     bool   // whether the sender wants what the receiver knows, if the sums differ
-	Answer  bool   // whether it answers one that asked: if it asks itself, it is answered for the last time
-	Records []Record
+	From           string // address of the sender
+	Sum            uint64 // of all records of the sender: nodes with equal sums have equal records
+	RequestRecords bool   // whether the sender wants the receiver's records if the sums differ
+	IsReply        bool   // whether it is a reply; a reply with RequestRecords gets a reply that ends the exchange
+	Records        []Record
 }
 
-// Effect is an output of the machine, carried out by its owner.
+// Effect is an output of the machine, carried out by its caller.
 type Effect interface{ effect() }
 
-// Send sends a message to other nodes. It may be lost.
+// Send sends a message to other nodes. Delivery is not guaranteed.
 type Send struct {
 	To      []string
 	Message Message
 }
 
-// Changed tells that the view has changed.
-type Changed struct{}
+// ViewChanged reports that Machine.View has changed.
+type ViewChanged struct{}
 
-// Log is an event for the log.
+// Log is an entry for the log.
 type Log struct {
 	Event       LogEvent
 	Fingerprint Fingerprint
 	Verdict     Verdict
-	By          string        // who released it
-	Gap         time.Duration // for which the process stood still
+	By          string        // source of the release
+	Gap         time.Duration // for which the process was suspended
 }
 
-// LogEvent names an event of the log.
+// LogEvent is the name of a log entry.
 type LogEvent string
 
-// The events of the log.
+// The log entries.
 const (
-	EventHeld     LogEvent = "quarantine.held"     // a request is sent to no worker from now on
-	EventReleased LogEvent = "quarantine.released" // a request that was held is sent to workers again
-	EventTrial    LogEvent = "quarantine.trial"    // one copy of a held request is sent to the worker beside this node
-	EventPaused   LogEvent = "quarantine.paused"   // the process stood still; others are asked what they know
+	EventHeld     LogEvent = "quarantine.held"     // the request is no longer sent to workers
+	EventReleased LogEvent = "quarantine.released" // a held request is sent to workers again
+	EventTrial    LogEvent = "quarantine.trial"    // one copy of a held request is sent to the local worker
+	EventPaused   LogEvent = "quarantine.paused"   // the process was suspended; other nodes are queried for their records
 )
 
-func (Send) effect()    {}
-func (Changed) effect() {}
-func (Log) effect()     {}
+func (Send) effect()        {}
+func (ViewChanged) effect() {}
+func (Log) effect()         {}
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,14 +1,13 @@
-// Package quarantine keeps requests from the workers that end each worker that
-// begins to run them. Such a request comes again under another id, at any node:
-// copies are known by what they ask, and what becomes of them is told to all nodes.
+// Package quarantine keeps requests that crash every worker that runs them away from further
+// workers. Such a request is retried under another id on any node: copies are recognized by a
+// fingerprint of their content, and all nodes share what they observe of it.
 //
-// The state is a set of records that only grows until they are old: which worker ended
-// under which request, which request was tried again, which was let go. Nodes join what
-// they know in any order, so none of them decides for the others and no message has to
-// come, or to come once.
+// The state is a set of records that grows until they expire: which worker crashed under which
+// request, which request was tried again and which was released. Nodes merge their records in
+// any order, so that no node decides for the others, and messages may be lost or duplicated.
 //
-// The machine is pure: Step takes an event and the time and returns effects. The time is
-// that of package clock.
+// The state machine is pure: Step takes an event and the time and returns effects. Times are
+// those of package clock.
 package quarantine
 
 import (
@@ -23,29 +22,28 @@
 
 // Parts of a Fingerprint, in bytes.
 const (
-	headBytes        = 4  // digest of all but the body: enough to spare most requests the digest of theirs
-	wholeBytes       = 12 // digest of all: 2^96 tries to find a request that passes for a given other one
-	fingerprintBytes = headBytes + wholeBytes
+	headBytes        = 4  // digest of everything but the body; most requests can be told apart without hashing their body
+	digestBytes      = 12 // digest of the whole request; 2^96 attempts are needed to match that of a given request
+	fingerprintBytes = headBytes + digestBytes
 )
 
-// Fingerprint names all copies of a request, whatever their ids: requests that ask the
-// same. Its parts are the beginnings of SHA-256 digests, so that no caller can make a
-// request that passes for another one.
+// Fingerprint identifies all copies of a request, whatever their ids. Its parts are truncated
+// SHA-256 digests, so that a caller can't construct a request that is taken for another one.
 type Fingerprint [fingerprintBytes]byte
 
-// Head names all requests that differ from one another in their bodies alone.
+// Head identifies all requests that differ only in their bodies.
 type Head [headBytes]byte
 
-// Request is what a fingerprint is made of. The caller's service is not part of it: what
-// ends a worker is what it is asked, and copies come from machines of any service.
+// Request is the input of a fingerprint. The caller's service is not part of it: a worker
+// crashes because of the content, and copies come from machines of any service.
 type Request struct {
 	Method string
 	Host   string
 	Target string // path and query, as sent
-	Body   []byte // whole, however it was framed
+	Body   []byte // the complete body, regardless of its framing
 }
 
-// Head digests all but the body.
+// Head returns the digest of everything but the body.
 func (r *Request) Head() Head {
 	sum := r.digestHead()
 	return Head(sum[:headBytes])
@@ -61,8 +59,8 @@
 	return sum
 }
 
-// Fingerprint digests the request. It costs 0.5 us for one without a body and 0.7 us for
-// each kB of a body (BenchmarkFingerprint).
+// Fingerprint returns the digest of the request. It takes 0.5 us without a body and another 0.7
+// us for each kB of the body (BenchmarkFingerprint).
 func (r *Request) Fingerprint() Fingerprint {
 	head := r.digestHead()
 	digest := sha256.New()
@@ -70,10 +68,11 @@
 	_, _ = digest.Write(r.Body)
 	var whole [sha256.Size]byte
 	digest.Sum(whole[:0])
-	return Fingerprint(append(head[:headBytes:headBytes], whole[:wholeBytes]...))
+	return Fingerprint(append(head[:headBytes:headBytes], whole[:digestBytes]...))
 }
 
-// writePart writes a text behind its length, so that the ends of parts count.
+// writePart writes the length of a text and the text, so that the boundaries between parts
+// count.
 func writePart(digest hash.Hash, part string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
@@ -84,10 +83,11 @@
 // Head returns the part that does not depend on the body.
 func (f Fingerprint) Head() Head { return Head(f[:headBytes]) }
 
-// String is the text by which logs, status and messages between nodes name a request.
+// String returns the text that identifies the request in logs, status and messages between
+// nodes.
 func (f Fingerprint) String() string { return base64.RawURLEncoding.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String returned.
+// ParseFingerprint parses the text returned by String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	decoded, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || len(decoded) != fingerprintBytes {
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -6,8 +6,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Copies share a fingerprint; whatever asks something else has another one.
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+// Copies of a request must have the same fingerprint, and requests that differ in any part must
+// have different ones.
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	request := Request{Method: "POST", Host: "shop.example", Target: "/order/7?page=1", Body: []byte("cards")}
 	same := request
 	same.Body = []byte("cards")
@@ -27,9 +28,9 @@
 	}
 }
 
-func TestFingerprintReadsBack(t *testing.T) {
-	asked := Request{Method: "GET", Host: "shop.example", Target: "/a"}
-	written := asked.Fingerprint()
+func TestFingerprintRoundTrip(t *testing.T) {
+	request := Request{Method: "GET", Host: "shop.example", Target: "/a"}
+	written := request.Fingerprint()
 	read, err := ParseFingerprint(written.String())
 	must.NoError(t, err)
 	must.Eq(t, written, read)
--- a/internal/quarantine/keeper/keeper.go
+++ b/internal/quarantine/keeper/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper runs a node's quarantine: one goroutine owns the pure machine and talks
-// to other nodes by datagrams. Traffic reads an immutable view.
+// Package keeper runs the quarantine state machine of a node: one goroutine owns the machine
+// and exchanges datagrams with other nodes. Traffic reads an immutable view.
 package keeper
 
 import (
@@ -19,41 +19,41 @@
 	"sliphead/internal/quarantine"
 )
 
-// readPause is the wait after a failure to read from the socket.
-const readPause = 200 * time.Millisecond
+// readErrorBackoff is the pause after an error of a read from the socket.
+const readErrorBackoff = 200 * time.Millisecond
 
-// inputQueue is how many inputs wait for the owner.
-const inputQueue = 256
+// inputQueueSize is the number of inputs that may wait for the owner goroutine.
+const inputQueueSize = 256
 
-// Config is what a keeper is made of. All fields are required, but for Logger and Now.
+// Config configures a Keeper. All fields except Logger and Now are required.
 type Config struct {
 	Address string        // IP address by which other nodes reach this one
-	Listen  string        // IP address that datagrams are sent from and come to
-	Port    string        // of the peer listener, the same on all nodes
-	Logger  log.Interface // nil: nothing is logged
+	Listen  string        // IP address of the local socket
+	Port    string        // port of the peer listener, the same on all nodes
+	Logger  log.Interface // nil: no logging
 	Now     func() time.Time
 }
 
-// Keeper is one node's quarantine.
+// Keeper runs the quarantine of one node. Its methods may be called concurrently.
 type Keeper struct {
 	config  Config
 	inputs  chan input
 	view    atomic.Pointer[quarantine.View]
-	machine *quarantine.Machine // of the owner
-	socket  net.PacketConn      // of the owner, once Run has begun
-	sent    atomic.Uint64       // datagrams
-	bytes   atomic.Uint64       // in them
+	machine *quarantine.Machine // used by the owner goroutine only
+	socket  net.PacketConn      // used by the owner goroutine only; set by Run
+	sent    atomic.Uint64       // datagrams sent
+	bytes   atomic.Uint64       // of the datagrams sent
 }
 
-// input is an event for the owner. Reply, if there is one, is told the verdict on a
-// request once the view holds what the event brought.
+// input is an event for the owner goroutine. If reply is set, it receives the verdict on the
+// subject once the view includes the event.
 type input struct {
-	event quarantine.Event
-	about quarantine.Fingerprint
-	reply chan quarantine.Verdict
+	event   quarantine.Event
+	subject quarantine.Fingerprint
+	reply   chan quarantine.Verdict
 }
 
-// New returns a keeper that knows of no request.
+// New returns a keeper without any records.
 func New(config Config) *Keeper {
 	if config.Logger == nil {
 		config.Logger = logging.Discard()
@@ -63,70 +63,71 @@
 	}
 	seed := rand.NewPCG(rand.Uint64(), rand.Uint64())
 	machine := quarantine.New(quarantine.Config{Self: config.Address, Random: seed}, config.Now())
-	return &Keeper{config: config, machine: machine, inputs: make(chan input, inputQueue)}
+	return &Keeper{config: config, machine: machine, inputs: make(chan input, inputQueueSize)}
 }
 
-// Empty reports whether no request is known.
+// Empty reports whether there are no records.
 func (k *Keeper) Empty() bool { return k.view.Load().Empty() }
 
-// Knows reports whether some request with this head is known.
+// Knows reports whether there are records of a request with this head.
 func (k *Keeper) Knows(head quarantine.Head) bool { return k.view.Load().Knows(head) }
 
-// Verdict says how a request is to be treated now, and for how long.
+// Verdict returns how a request is to be treated now, and the time until that changes.
 func (k *Keeper) Verdict(fingerprint quarantine.Fingerprint) (quarantine.Verdict, time.Duration) {
 	now := k.config.Now()
 	verdict := k.view.Load().Verdict(fingerprint, now)
 	return verdict, max(0, verdict.Until.Sub(now))
 }
 
-// WorkerCrashed tells that the worker beside this node ended while it ran some requests, and
-// returns what is known then of the first one. When ctx ends before, nothing is.
+// WorkerCrashed records that the local worker crashed while it ran some requests, and returns
+// the new verdict on the first one. If ctx ends first, it returns a zero verdict.
 func (k *Keeper) WorkerCrashed(ctx context.Context, instance string, requests []quarantine.Fingerprint) quarantine.Verdict {
 	return k.submit(ctx, quarantine.WorkerCrashed{Instance: instance, Requests: requests}, requests[0])
 }
 
-// Answered tells that the worker beside this node answered a request that is known.
+// Answered records that the local worker responded to a request that is suspected or on trial.
 func (k *Keeper) Answered(ctx context.Context, fingerprint quarantine.Fingerprint, instance string) {
 	k.submit(ctx, quarantine.Answered{Fingerprint: fingerprint, Instance: instance}, fingerprint)
 }
 
-// BeginTrial reports whether a request on trial may be sent to the worker beside this
-// node, and counts it: of several that ask, one may.
+// BeginTrial reports whether a request on trial may be sent to the local worker now, and
+// records the trial: of several concurrent calls, one returns true.
 func (k *Keeper) BeginTrial(ctx context.Context, fingerprint quarantine.Fingerprint, instance string) bool {
-	before := k.submit(ctx, quarantine.TrialBegins{Fingerprint: fingerprint, Instance: instance}, fingerprint)
+	before := k.submit(ctx, quarantine.TrialStarted{Fingerprint: fingerprint, Instance: instance}, fingerprint)
 	return before.State == quarantine.OnTrial
 }
 
-// LetGo has a request sent to workers again, and returns what was known of it.
+// LetGo releases a request, so that it is sent to workers again, and returns the verdict before
+// the release.
 func (k *Keeper) LetGo(ctx context.Context, fingerprint quarantine.Fingerprint, by string) quarantine.Verdict {
 	verdict, _ := k.Verdict(fingerprint)
-	k.submit(ctx, quarantine.LetGo{Fingerprint: fingerprint, By: by}, fingerprint)
+	k.submit(ctx, quarantine.ReleaseOrdered{Fingerprint: fingerprint, By: by}, fingerprint)
 	return verdict
 }
 
-// Status is what the keeper tells operators.
+// Status is the state reported to operators.
 type Status struct {
-	Suspected int                      `json:"suspected"` // requests under which a worker ended, too few to hold them
-	Held      int                      `json:"held"`      // requests that are sent to no worker, or to one as a trial
+	Suspected int                      `json:"suspected"` // requests with crashes, but too few to be held
+	Held      int                      `json:"held"`      // requests that are held or on trial
 	Requests  []quarantine.HeldRequest `json:"requests,omitempty"`
 }
 
-// mostShown bounds the held requests that operators are shown.
-const mostShown = 50
+// maxShown bounds the held requests in a Status.
+const maxShown = 50
 
-// Status tells the state of now.
+// Status returns the current state.
 func (k *Keeper) Status() Status {
 	now := k.config.Now()
 	view := k.view.Load()
 	suspected, held := view.Count(now)
-	return Status{Suspected: suspected, Held: held, Requests: view.Held(mostShown, now)}
+	return Status{Suspected: suspected, Held: held, Requests: view.Held(maxShown, now)}
 }
 
-// Sent returns how many datagrams were sent to other nodes, and their bytes.
+// Sent returns the number of datagrams sent to other nodes and their total bytes.
 func (k *Keeper) Sent() (datagrams, bytes uint64) { return k.sent.Load(), k.bytes.Load() }
 
-// Peers tells the addresses of the other nodes. It does not wait: the catalog tells of
-// them again with its next change.
+// Peers updates the addresses of the nodes. It does not block; an update that is dropped
+// because the input queue is full is made up for by the next change of the catalog.
 func (k *Keeper) Peers(addresses []string) {
 	select {
 	case k.inputs <- input{event: quarantine.Peers{Addresses: addresses}}:
@@ -134,23 +135,23 @@
 	}
 }
 
-// submit hands an event to the owner and waits until it is dealt with.
-func (k *Keeper) submit(ctx context.Context, event quarantine.Event, about quarantine.Fingerprint) quarantine.Verdict {
-	given := input{event: event, about: about, reply: make(chan quarantine.Verdict, 1)}
+// submit sends an event to the owner goroutine and waits until it is processed.
+func (k *Keeper) submit(ctx context.Context, event quarantine.Event, subject quarantine.Fingerprint) quarantine.Verdict {
+	next := input{event: event, subject: subject, reply: make(chan quarantine.Verdict, 1)}
 	select {
-	case k.inputs <- given:
+	case k.inputs <- next:
 	case <-ctx.Done():
 		return quarantine.Verdict{}
 	}
 	select {
-	case verdict := <-given.reply:
+	case verdict := <-next.reply:
 		return verdict
 	case <-ctx.Done():
 		return quarantine.Verdict{}
 	}
 }
 
-// Run talks to other nodes until ctx ends.
+// Run exchanges messages with other nodes until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	var config net.ListenConfig
 	socket, err := config.ListenPacket(ctx, "udp", net.JoinHostPort(k.config.Listen, k.config.Port))
@@ -163,15 +164,15 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return k.read(ctx, socket) })
 	group.Go(func() error {
-		k.own(ctx)
+		k.runOwner(ctx)
 		return nil
 	})
 	return group.Wait()
 }
 
-// read takes datagrams in.
+// read receives datagrams.
 func (k *Keeper) read(ctx context.Context, socket net.PacketConn) error {
-	buffer := make([]byte, mostDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		count, remote, err := socket.ReadFrom(buffer)
 		if ctx.Err() != nil {
@@ -179,7 +180,7 @@
 		}
 		if err != nil {
 			logging.Problem(k.config.Logger, "quarantine.messageLost", err, nil)
-			time.Sleep(readPause) // short of buffers, most likely
+			time.Sleep(readErrorBackoff) // most likely out of buffers
 			continue
 		}
 		message, err := decode(buffer[:count], k.config.Now())
@@ -188,14 +189,15 @@
 			continue
 		}
 		select {
-		case k.inputs <- input{event: quarantine.Heard{Message: message}}:
-		default: // the owner is behind: what is lost here is asked for
+		case k.inputs <- input{event: quarantine.MessageReceived{Message: message}}:
+		default: // the owner is overloaded: lost records are obtained by a query
 		}
 	}
 }
 
-// own is the goroutine that owns the state.
-func (k *Keeper) own(ctx context.Context) {
+// runOwner processes inputs and ticks until ctx ends. Only this goroutine uses the state
+// machine.
+func (k *Keeper) runOwner(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -204,28 +206,28 @@
 			return
 		case <-timer.C:
 			k.step(quarantine.Tick{})
-		case given := <-k.inputs:
-			k.handle(given)
+		case next := <-k.inputs:
+			k.handle(next)
 		}
 		now := k.config.Now()
 		timer.Reset(k.machine.Due(now).Sub(now))
 	}
 }
 
-// handle deals with one input. A trial is decided by what was known before it, anything
-// else is told by what is known after.
-func (k *Keeper) handle(given input) {
-	before := k.machine.Verdict(given.about, k.config.Now())
-	_, isTrial := given.event.(quarantine.TrialBegins)
+// handle processes one input. The reply to a trial is the verdict before it, the reply to any
+// other event the verdict after it.
+func (k *Keeper) handle(next input) {
+	before := k.machine.Verdict(next.subject, k.config.Now())
+	_, isTrial := next.event.(quarantine.TrialStarted)
 	if !isTrial || before.State == quarantine.OnTrial {
-		k.step(given.event)
+		k.step(next.event)
 	}
 	switch {
-	case given.reply == nil:
+	case next.reply == nil:
 	case isTrial:
-		given.reply <- before
+		next.reply <- before
 	default:
-		given.reply <- k.machine.Verdict(given.about, k.config.Now())
+		next.reply <- k.machine.Verdict(next.subject, k.config.Now())
 	}
 }
 
@@ -235,7 +237,7 @@
 		switch effect := effect.(type) {
 		case quarantine.Send:
 			k.send(effect, now)
-		case quarantine.Changed:
+		case quarantine.ViewChanged:
 			k.view.Store(k.machine.View())
 		case quarantine.Log:
 			k.log(effect)
@@ -243,24 +245,24 @@
 	}
 }
 
-// send sends a message to other nodes. One that can't be sent is as good as lost.
-func (k *Keeper) send(told quarantine.Send, now time.Time) {
-	line, err := encode(told.Message, now)
+// send sends a message to other nodes. A message that can't be sent is treated as lost.
+func (k *Keeper) send(effect quarantine.Send, now time.Time) {
+	datagram, err := encode(effect.Message, now)
 	if err != nil {
 		logging.Problem(k.config.Logger, "quarantine.messageLost", err, nil)
 		return
 	}
-	for _, host := range told.To {
+	for _, host := range effect.To {
 		address, err := net.ResolveUDPAddr("udp", net.JoinHostPort(host, k.config.Port))
 		if err == nil {
-			_, err = k.socket.WriteTo(line, address)
+			_, err = k.socket.WriteTo(datagram, address)
 		}
 		if err != nil {
 			logging.Problem(k.config.Logger, "quarantine.messageLost", err, logging.Fields{"peer": host})
 			continue
 		}
 		k.sent.Add(1)
-		k.bytes.Add(uint64(len(line)))
+		k.bytes.Add(uint64(len(datagram)))
 	}
 }
 
--- a/internal/quarantine/keeper/keeper_test.go
+++ b/internal/quarantine/keeper/keeper_test.go
@@ -17,40 +17,40 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var began = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
 func requestNumber(number int) quarantine.Fingerprint {
-	asked := quarantine.Request{Method: "GET", Host: "shop.example", Target: fmt.Sprint("/", number)}
-	return asked.Fingerprint()
+	request := quarantine.Request{Method: "GET", Host: "shop.example", Target: fmt.Sprint("/", number)}
+	return request.Fingerprint()
 }
 
-func TestMessagesReadBack(t *testing.T) {
-	sent := quarantine.Message{From: "10.0.0.1", Sum: 1<<63 + 5, Ask: true, Answer: true, Records: []quarantine.Record{
-		{Fingerprint: requestNumber(1), Kind: quarantine.Crashed, Generation: 2, Source: "i-1", At: began.Add(-1500 * time.Millisecond)},
-		{Fingerprint: requestNumber(2), Kind: quarantine.Released, Source: "operator", At: began},
+func TestMessageRoundTrip(t *testing.T) {
+	sent := quarantine.Message{From: "10.0.0.1", Sum: 1<<63 + 5, RequestRecords: true, IsReply: true, Records: []quarantine.Record{
+		{Fingerprint: requestNumber(1), Kind: quarantine.Crashed, Generation: 2, Source: "i-1", At: startTime.Add(-1500 * time.Millisecond)},
+		{Fingerprint: requestNumber(2), Kind: quarantine.Released, Source: "operator", At: startTime},
 	}}
-	line, err := encode(sent, began)
+	line, err := encode(sent, startTime)
 	must.NoError(t, err)
-	read, err := decode(line, began)
+	read, err := decode(line, startTime)
 	must.NoError(t, err)
 	must.Eq(t, sent, read)
 }
 
-// A full message fits into a datagram that no link splits.
-func TestFullMessageFits(t *testing.T) {
+// A full message must fit into a datagram that no link fragments.
+func TestFullMessageFitsDatagram(t *testing.T) {
 	const records, datagram = 14, 1400
 	message := quarantine.Message{From: "10.200.100.100", Sum: 1 << 63}
 	for number := range records {
-		message.Records = append(message.Records, quarantine.Record{Fingerprint: requestNumber(number), Kind: quarantine.Crashed, Source: "i-f0624b4e6e", At: began.Add(-time.Hour)})
+		message.Records = append(message.Records, quarantine.Record{Fingerprint: requestNumber(number), Kind: quarantine.Crashed, Source: "i-f0624b4e6e", At: startTime.Add(-time.Hour)})
 	}
-	line, err := encode(message, began)
+	line, err := encode(message, startTime)
 	must.NoError(t, err)
 	must.LessEq(t, datagram, len(line))
 }
 
-func TestBadMessagesAreRefused(t *testing.T) {
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	for _, line := range []string{"", "{}", `{"from":"10.0.0.1"}`, `{"from":"here","sum":"0"}`, `{"from":"10.0.0.1","sum":"0","records":[{"f":"short","k":"crashed","s":"i-1"}]}`} {
-		_, err := decode([]byte(line), began)
+		_, err := decode([]byte(line), startTime)
 		must.Error(t, err, must.Sprint(line))
 	}
 }
@@ -58,20 +58,20 @@
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"from":"10.0.0.1","sum":"ff","ask":true,"records":[{"f":"AAAAAAAAAAAAAAAAAAAAAA","k":"crashed","s":"i-1","a":-5}]}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		message, err := decode(line, began)
+		message, err := decode(line, startTime)
 		if err != nil {
 			return
 		}
 		for _, record := range message.Records {
-			must.False(t, record.At.After(began))
+			must.False(t, record.At.After(startTime))
 		}
 	})
 }
 
-// fleet starts keepers on loopback addresses of their own, with a clock that jumps.
+// fleet runs keepers on separate loopback addresses, with a clock that the test can advance.
 type fleet struct {
-	keepers []*Keeper
-	ahead   atomic.Int64 // of the clock, in nanoseconds
+	keepers     []*Keeper
+	clockOffset atomic.Int64 // in nanoseconds
 }
 
 func newFleet(t *testing.T, size int) *fleet {
@@ -86,7 +86,7 @@
 		address := fmt.Sprintf("127.95.1.%d", index+1)
 		addresses = append(addresses, address)
 		f.keepers = append(f.keepers, New(Config{Address: address, Listen: address, Port: port, Now: func() time.Time {
-			return time.Now().Round(0).Add(time.Duration(f.ahead.Load()))
+			return time.Now().Round(0).Add(time.Duration(f.clockOffset.Load()))
 		}}))
 	}
 	ended := make(chan error, size)
@@ -103,7 +103,7 @@
 	return f
 }
 
-func (f *fleet) until(t *testing.T, state quarantine.State) {
+func (f *fleet) waitForState(t *testing.T, state quarantine.State) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool {
 		for _, each := range f.keepers {
@@ -115,21 +115,22 @@
 	}), wait.Timeout(30*time.Second), wait.Gap(5*time.Millisecond)))
 }
 
-// Three ends at three nodes hold a request at all; after the wait one of many that ask may
-// make the trial, and an answer lets it go everywhere.
-func TestKeepersAgree(t *testing.T) {
+// Three crashes on three nodes must hold a request on all nodes. After the delay exactly one of
+// many concurrent calls may begin the trial, and a response must release the request on all
+// nodes.
+func TestKeepersConverge(t *testing.T) {
 	f := newFleet(t, 5)
 	for index, each := range f.keepers[:3] {
 		each.WorkerCrashed(t.Context(), fmt.Sprint("i-", index), []quarantine.Fingerprint{requestNumber(1)})
 	}
-	f.until(t, quarantine.Held)
+	f.waitForState(t, quarantine.Held)
 	must.True(t, f.keepers[4].Knows(requestNumber(1).Head()))
 	must.False(t, f.keepers[4].Knows(requestNumber(2).Head()))
-	must.False(t, f.keepers[4].BeginTrial(t.Context(), requestNumber(1), "i-4"), must.Sprint("while it is held"))
+	must.False(t, f.keepers[4].BeginTrial(t.Context(), requestNumber(1), "i-4"), must.Sprint("no trial may begin while the request is held"))
 	must.Eq(t, 1, f.keepers[3].Status().Held)
 
-	f.ahead.Store(int64(2 * time.Minute)) // as after a suspension
-	f.until(t, quarantine.OnTrial)
+	f.clockOffset.Store(int64(2 * time.Minute)) // as after a suspension
+	f.waitForState(t, quarantine.OnTrial)
 	begun := make(chan bool)
 	const copies = 8
 	for range copies {
@@ -142,12 +143,12 @@
 		}
 	}
 	must.Eq(t, 1, allowed)
-	f.until(t, quarantine.Held)
+	f.waitForState(t, quarantine.Held)
 	f.keepers[4].Answered(t.Context(), requestNumber(1), "i-4")
-	f.until(t, quarantine.Free)
+	f.waitForState(t, quarantine.Free)
 }
 
-// Calls don't wait for an owner that has ended.
+// Calls must return when their context ends, even if the owner goroutine does not run.
 func TestCallsEndWithTheirContext(t *testing.T) {
 	keeper := New(Config{Address: "127.0.0.1", Listen: "127.0.0.1", Port: "0"})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -7,42 +7,45 @@
 	"time"
 )
 
-// Bounds of what a request may do to workers, and of what is remembered.
+// Bounds on the workers that a request may crash, and on the records that are retained.
 const (
-	// crashesToHold is under how many crashes of workers a request is held. One worker that ends
-	// takes all that it runs along, and so may a second one that some of it was repeated
-	// at: with two, one of six innocent requests beside a poison one would be held
-	// (computed: both are repeated at one of six workers). The operators allow three.
+	// crashesToHold is the number of worker crashes under a request after which it is held. A
+	// crash affects all requests that the worker runs, and a second worker may crash while it
+	// runs retries of the same requests: with two crashes, one of six innocent requests beside
+	// a poison one would be held (computed: both are retried on one of six workers). The
+	// operators accept three crashes.
 	crashesToHold = 3
 
-	// memory is for how long the records of a request are kept after the last one: a
-	// request that comes once a day ends three workers and no more.
-	memory = 24 * time.Hour
+	// retention is how long the records of a request are kept after the last one, so that a
+	// request that is sent once a day crashes three workers and no more.
+	retention = 24 * time.Hour
 
-	// memoryMargin keeps records that other nodes are about to forget from coming back.
-	memoryMargin = time.Minute
+	// retentionMargin rejects received records that are about to expire. Otherwise a record
+	// removed here could return from a node that removes it a little later.
+	retentionMargin = time.Minute
 
-	// mostCases bounds the requests that are remembered: 2 MB at most. Each worker that
-	// ends adds what it ran, 6 to 13 requests.
-	mostCases = 2048
+	// maxRequests bounds the requests with records: 2 MB at most. Each worker that crashes adds
+	// the requests that it ran, 6 to 13.
+	maxRequests = 2048
 
-	// mostSources bounds the records of one kind for one request. More than three workers
-	// end under it only while nodes are cut off from each other.
-	mostSources = 16
+	// maxSources bounds the records of one kind for one request. More than three workers crash
+	// under a request only while nodes are cut off from each other.
+	maxSources = 16
 )
 
-// trialAfter is for how long a request is held before its first, second and third trial:
-// one copy at one worker, which ends the worker if the request is what it was. A released
-// worker, or an innocent request, is thus found out after a minute, at the price of three
-// workers at most. After the third, only an operator lets a request go, or time.
-var trialAfter = [...]time.Duration{time.Minute, 10 * time.Minute, 2 * time.Hour}
+// trialDelays are the times for which a request is held before its first, second and third
+// trial. In a trial one copy is sent to one worker, which crashes if the request is still
+// harmful. A fixed worker release or an innocent request is thus detected after a minute, at
+// the cost of at most three workers. After the third trial, only an operator or expiry releases
+// the request.
+var trialDelays = [...]time.Duration{time.Minute, 10 * time.Minute, 2 * time.Hour}
 
-// history is what is known of one request. It is not changed once it is in a ledger.
+// history holds the records of one request. It is immutable once it is in a ledger.
 type history struct {
-	generation      uint32               // the open one
-	crashes, trials map[string]time.Time // of this generation, by source
-	releasedBy      string               // who closed the generation before, "" where it is not known
-	latest          time.Time            // of all records
+	generation      uint32               // the current generation
+	crashes, trials map[string]time.Time // of the current generation, by source
+	releasedBy      string               // source of the release that ended the previous generation; "" if not known
+	latest          time.Time            // time of the latest record
 }
 
 func (h *history) clone() *history {
@@ -52,51 +55,51 @@
 	return &copied
 }
 
-// open begins a generation and forgets what was observed in those before.
-func (h *history) open(generation uint32) {
+// openGeneration begins a generation and discards the observations of earlier ones.
+func (h *history) openGeneration(generation uint32) {
 	h.generation = generation
 	h.crashes = map[string]time.Time{}
 	h.trials = map[string]time.Time{}
 	h.releasedBy = ""
 }
 
-// add takes a record in and reports whether it is new.
+// add adds a record and reports whether it is new.
 func (h *history) add(record Record) bool {
 	switch {
 	case record.Generation < h.generation:
 		return false
 	case record.Kind == Released:
-		h.open(record.Generation + 1)
+		h.openGeneration(record.Generation + 1)
 		h.releasedBy = record.Source
 		return true
 	case record.Generation > h.generation:
-		h.open(record.Generation) // the release before it is still on its way
+		h.openGeneration(record.Generation) // the release that ended the previous generation has not arrived yet
 	}
-	of := h.crashes
+	observations := h.crashes
 	if record.Kind == Tried {
-		of = h.trials
+		observations = h.trials
 	}
-	if _, known := of[record.Source]; known || len(of) >= mostSources {
+	if _, found := observations[record.Source]; found || len(observations) >= maxSources {
 		return false
 	}
-	of[record.Source] = record.At
+	observations[record.Source] = record.At
 	return true
 }
 
-// ledger is the set of all records of a node.
+// ledger holds all records of a node.
 type ledger struct {
-	cases map[Fingerprint]*history
-	sum   uint64 // of the identities of all records, by exclusive or
+	histories map[Fingerprint]*history
+	sum       uint64 // exclusive or of the identities of all records
 }
 
-func newLedger() *ledger { return &ledger{cases: map[Fingerprint]*history{}} }
+func newLedger() *ledger { return &ledger{histories: map[Fingerprint]*history{}} }
 
-// join takes a record in and reports whether it is new.
-func (l *ledger) join(record Record, now time.Time) bool {
-	if !record.Kind.valid() || now.Sub(record.At) > memory-memoryMargin {
+// merge adds a record and reports whether it is new. Expired and invalid records are ignored.
+func (l *ledger) merge(record Record, now time.Time) bool {
+	if !record.Kind.valid() || now.Sub(record.At) > retention-retentionMargin {
 		return false
 	}
-	before := l.cases[record.Fingerprint]
+	before := l.histories[record.Fingerprint]
 	if before == nil {
 		before = &history{crashes: map[string]time.Time{}, trials: map[string]time.Time{}}
 	}
@@ -105,99 +108,100 @@
 		return false
 	}
 	next.latest = later(next.latest, record.At)
-	if l.cases[record.Fingerprint] == nil {
-		l.makeRoom(now)
+	if l.histories[record.Fingerprint] == nil {
+		l.evict(now)
 	}
-	l.forget(record.Fingerprint)
-	l.cases[record.Fingerprint] = next
-	l.addToSum(record.Fingerprint)
+	l.remove(record.Fingerprint)
+	l.histories[record.Fingerprint] = next
+	l.toggleSum(record.Fingerprint)
 	return true
 }
 
-// addToSum adds the records of a request to the sum, or takes them off it.
-func (l *ledger) addToSum(fingerprint Fingerprint) {
+// toggleSum adds the records of a request to the sum, or removes them if they are included.
+func (l *ledger) toggleSum(fingerprint Fingerprint) {
 	for _, record := range l.recordsOf(fingerprint) {
 		l.sum ^= record.identity()
 	}
 }
 
-// generation is the open generation of a request.
+// generation returns the current generation of a request.
 func (l *ledger) generation(fingerprint Fingerprint) uint32 {
-	if held := l.cases[fingerprint]; held != nil {
-		return held.generation
+	if history := l.histories[fingerprint]; history != nil {
+		return history.generation
 	}
 	return 0
 }
 
-// makeRoom forgets an eighth of the requests when there are too many: those heard of
-// longest ago, of those that aren't held where there are any. One by one, each new record
-// would look at all of them.
-func (l *ledger) makeRoom(now time.Time) {
-	const part = 8
-	if len(l.cases) < mostCases {
+// evict removes an eighth of the requests when there are too many: first those that are not
+// held, the oldest first. Evicting them one at a time would scan all requests for each new
+// record.
+func (l *ledger) evict(now time.Time) {
+	const divisor = 8
+	if len(l.histories) < maxRequests {
 		return
 	}
 	order := l.byImportance(now)
-	for _, fingerprint := range order[len(order)-mostCases/part:] {
-		l.forget(fingerprint)
+	for _, fingerprint := range order[len(order)-maxRequests/divisor:] {
+		l.remove(fingerprint)
 	}
 }
 
-// expire forgets requests of which nothing was heard for long.
+// expire removes requests without a record within the retention time, and reports whether there
+// were any.
 func (l *ledger) expire(now time.Time) bool {
 	expired := false
-	for fingerprint, each := range l.cases {
-		if now.Sub(each.latest) > memory {
-			l.forget(fingerprint)
+	for fingerprint, each := range l.histories {
+		if now.Sub(each.latest) > retention {
+			l.remove(fingerprint)
 			expired = true
 		}
 	}
 	return expired
 }
 
-func (l *ledger) forget(fingerprint Fingerprint) {
-	l.addToSum(fingerprint)
-	delete(l.cases, fingerprint)
+func (l *ledger) remove(fingerprint Fingerprint) {
+	l.toggleSum(fingerprint)
+	delete(l.histories, fingerprint)
 }
 
 // recordsOf returns the records of one request.
 func (l *ledger) recordsOf(fingerprint Fingerprint) []Record {
-	held := l.cases[fingerprint]
-	if held == nil {
+	history := l.histories[fingerprint]
+	if history == nil {
 		return nil
 	}
 	var records []Record
-	if held.generation > 0 {
-		records = append(records, Record{Fingerprint: fingerprint, Kind: Released, Generation: held.generation - 1, Source: held.releasedBy, At: held.latest})
+	if history.generation > 0 {
+		records = append(records, Record{Fingerprint: fingerprint, Kind: Released, Generation: history.generation - 1, Source: history.releasedBy, At: history.latest})
 	}
-	for _, source := range sources(held.crashes) {
-		records = append(records, Record{Fingerprint: fingerprint, Kind: Crashed, Generation: held.generation, Source: source, At: held.crashes[source]})
+	for _, source := range sources(history.crashes) {
+		records = append(records, Record{Fingerprint: fingerprint, Kind: Crashed, Generation: history.generation, Source: source, At: history.crashes[source]})
 	}
-	for _, source := range sources(held.trials) {
-		records = append(records, Record{Fingerprint: fingerprint, Kind: Tried, Generation: held.generation, Source: source, At: held.trials[source]})
+	for _, source := range sources(history.trials) {
+		records = append(records, Record{Fingerprint: fingerprint, Kind: Tried, Generation: history.generation, Source: source, At: history.trials[source]})
 	}
 	return records
 }
 
-// byImportance returns the requests, held ones first and those heard of last before others.
+// byImportance returns the requests, held ones first and then the ones with the latest records.
 func (l *ledger) byImportance(now time.Time) []Fingerprint {
-	order := make([]Fingerprint, 0, len(l.cases))
-	held := make(map[Fingerprint]bool, len(l.cases))
-	for fingerprint, each := range l.cases {
+	order := make([]Fingerprint, 0, len(l.histories))
+	held := make(map[Fingerprint]bool, len(l.histories))
+	for fingerprint, each := range l.histories {
 		order = append(order, fingerprint)
 		held[fingerprint] = each.verdict(now).State >= Held
 	}
 	slices.SortFunc(order, func(a, b Fingerprint) int {
-		return cmp.Or(boolOrder(held[a], held[b]), l.cases[b].latest.Compare(l.cases[a].latest), slices.Compare(a[:], b[:]))
+		return cmp.Or(compareTrueFirst(held[a], held[b]), l.histories[b].latest.Compare(l.histories[a].latest), slices.Compare(a[:], b[:]))
 	})
 	return order
 }
 
-// mostImportant returns the records of the most important requests, up to about a number.
-func (l *ledger) mostImportant(most int, now time.Time) []Record {
+// mostImportant returns the records of the most important requests, about as many as the limit.
+func (l *ledger) mostImportant(limit int, now time.Time) []Record {
 	var records []Record
 	for _, fingerprint := range l.byImportance(now) {
-		if len(records) >= most {
+		if len(records) >= limit {
 			break
 		}
 		records = append(records, l.recordsOf(fingerprint)...)
@@ -205,8 +209,8 @@
 	return records
 }
 
-// boolOrder puts what is true first.
-func boolOrder(a, b bool) int {
+// compareTrueFirst orders true before false.
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/internal/quarantine/machine_test.go
+++ b/internal/quarantine/machine_test.go
@@ -11,122 +11,123 @@
 	"pgregory.net/rapid"
 )
 
-var began = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
 func requestNumber(number int) Fingerprint {
-	asked := Request{Method: "GET", Host: "shop.example", Target: fmt.Sprint("/", number)}
-	return asked.Fingerprint()
+	request := Request{Method: "GET", Host: "shop.example", Target: fmt.Sprint("/", number)}
+	return request.Fingerprint()
 }
 
 func newMachine(self string) *Machine {
-	return New(Config{Self: self, Random: rand.NewPCG(1, 1)}, began)
+	return New(Config{Self: self, Random: rand.NewPCG(1, 1)}, startTime)
 }
 
-func crashOf(instance string, requests ...Fingerprint) WorkerCrashed {
+func crashUnder(instance string, requests ...Fingerprint) WorkerCrashed {
 	return WorkerCrashed{Instance: instance, Requests: requests}
 }
 
-// Three workers have to end under a request before it is held, and the same one counts once.
+// A request must be held after the crash of three different workers under it, not earlier; a
+// repeated crash record of the same worker counts once.
 func TestHeldAfterThreeWorkers(t *testing.T) {
 	m := newMachine("a")
 	poison, beside := requestNumber(1), requestNumber(2)
-	m.Step(crashOf("i-1", poison, beside), began)
-	m.Step(crashOf("i-1", poison), began)
-	m.Step(crashOf("i-2", poison), began)
-	must.Eq(t, Verdict{State: Suspected, Workers: []string{"i-1", "i-2"}}, m.Verdict(poison, began))
-	effects := m.Step(crashOf("i-3", poison), began)
-	held := Verdict{State: Held, Workers: []string{"i-1", "i-2", "i-3"}, Until: began.Add(trialAfter[0])}
-	must.Eq(t, held, m.Verdict(poison, began))
+	m.Step(crashUnder("i-1", poison, beside), startTime)
+	m.Step(crashUnder("i-1", poison), startTime)
+	m.Step(crashUnder("i-2", poison), startTime)
+	must.Eq(t, Verdict{State: Suspected, Workers: []string{"i-1", "i-2"}}, m.Verdict(poison, startTime))
+	effects := m.Step(crashUnder("i-3", poison), startTime)
+	held := Verdict{State: Held, Workers: []string{"i-1", "i-2", "i-3"}, Until: startTime.Add(trialDelays[0])}
+	must.Eq(t, held, m.Verdict(poison, startTime))
 	must.SliceContains(t, effects, Effect(Log{Event: EventHeld, Fingerprint: poison, Verdict: held}))
-	must.Eq(t, Suspected, m.Verdict(beside, began).State)
-	must.Eq(t, Free, m.Verdict(requestNumber(3), began).State)
+	must.Eq(t, Suspected, m.Verdict(beside, startTime).State)
+	must.Eq(t, Free, m.Verdict(requestNumber(3), startTime).State)
 }
 
-// An answer clears a request: a popular one that workers happened to run when they ended
-// is not held, however many end.
-func TestAnswerClears(t *testing.T) {
+// A response must clear a request: a frequent request that workers happened to run when they
+// crashed is not held, however many of them crash.
+func TestResponseClearsSuspicion(t *testing.T) {
 	m := newMachine("a")
 	popular := requestNumber(1)
 	for index := range 10 {
-		m.Step(crashOf(fmt.Sprint("i-", index), popular), began)
-		m.Step(Answered{Fingerprint: popular, Instance: "i-other"}, began)
-		must.Eq(t, Free, m.Verdict(popular, began).State)
+		m.Step(crashUnder(fmt.Sprint("i-", index), popular), startTime)
+		m.Step(Answered{Fingerprint: popular, Instance: "i-other"}, startTime)
+		must.Eq(t, Free, m.Verdict(popular, startTime).State)
 	}
 }
 
-// A held request gets three trials, each at one worker and later than the one before,
-// and is let go by an operator after that, or when a trial is answered.
-func TestTrials(t *testing.T) {
+// A held request must get three trials, each on one worker and after a longer delay, and must
+// be released when a trial gets a response or by an operator.
+func TestTrialsFollowSchedule(t *testing.T) {
 	for name, answeredAt := range map[string]int{"first answered": 0, "third answered": 2, "none answered": -1} {
 		t.Run(name, func(t *testing.T) {
 			m := newMachine("a")
-			poison, now := requestNumber(1), began
+			poison, now := requestNumber(1), startTime
 			for index := range crashesToHold {
-				m.Step(crashOf(fmt.Sprint("i-", index), poison), now)
+				m.Step(crashUnder(fmt.Sprint("i-", index), poison), now)
 			}
-			for trial, wait := range trialAfter {
+			for trial, wait := range trialDelays {
 				must.Eq(t, Held, m.Verdict(poison, now.Add(wait-1)).State)
 				now = now.Add(wait)
 				must.Eq(t, OnTrial, m.Verdict(poison, now).State)
-				m.Step(TrialBegins{Fingerprint: poison, Instance: "owner"}, now)
-				must.Eq(t, Held, m.Verdict(poison, now).State, must.Sprint("while the trial runs"))
+				m.Step(TrialStarted{Fingerprint: poison, Instance: "owner"}, now)
+				must.Eq(t, Held, m.Verdict(poison, now).State, must.Sprint("must stay held while the trial runs"))
 				if trial == answeredAt {
 					m.Step(Answered{Fingerprint: poison, Instance: fmt.Sprint("t-", trial)}, now)
 					must.Eq(t, Free, m.Verdict(poison, now).State)
 					return
 				}
-				m.Step(crashOf(fmt.Sprint("t-", trial), poison), now)
+				m.Step(crashUnder(fmt.Sprint("t-", trial), poison), now)
 			}
-			must.Eq(t, Held, m.Verdict(poison, now.Add(memory-1)).State)
-			m.Step(LetGo{Fingerprint: poison, By: "operator"}, now)
+			must.Eq(t, Held, m.Verdict(poison, now.Add(retention-1)).State)
+			m.Step(ReleaseOrdered{Fingerprint: poison, By: "operator"}, now)
 			must.Eq(t, Free, m.Verdict(poison, now).State)
 		})
 	}
 }
 
-// What is old is forgotten, and does not come back from a node that forgets it later.
-func TestOldRecordsAreForgotten(t *testing.T) {
+// Expired records must be removed and must not return from a node that removes them later.
+func TestExpiredRecordsAreRemoved(t *testing.T) {
 	m := newMachine("a")
-	m.Step(crashOf("i-1", requestNumber(1)), began)
-	late := began.Add(memory + 1)
+	m.Step(crashUnder("i-1", requestNumber(1)), startTime)
+	late := startTime.Add(retention + 1)
 	m.Step(Tick{}, late)
-	must.MapEmpty(t, m.ledger.cases)
+	must.MapEmpty(t, m.ledger.histories)
 	must.Eq(t, 0, m.ledger.sum)
-	m.Step(Heard{Message{From: "b", Records: []Record{{Fingerprint: requestNumber(1), Kind: Crashed, Source: "i-1", At: began}}}}, late)
-	must.MapEmpty(t, m.ledger.cases)
+	m.Step(MessageReceived{Message{From: "b", Records: []Record{{Fingerprint: requestNumber(1), Kind: Crashed, Source: "i-1", At: startTime}}}}, late)
+	must.MapEmpty(t, m.ledger.histories)
 }
 
-// A caller with ever new requests of this kind costs a bounded memory, and what is held
-// stays while anything else can be forgotten.
+// Memory must stay bounded when a caller sends ever new requests that crash workers. Held
+// requests are evicted last.
 func TestMemoryIsBounded(t *testing.T) {
 	m := newMachine("a")
 	poison := requestNumber(0)
 	for index := range crashesToHold {
-		m.Step(crashOf(fmt.Sprint("i-", index), poison), began)
+		m.Step(crashUnder(fmt.Sprint("i-", index), poison), startTime)
 	}
-	for index := range 2 * mostCases {
-		m.Step(crashOf("i-9", requestNumber(index+1)), began.Add(time.Second))
+	for index := range 2 * maxRequests {
+		m.Step(crashUnder("i-9", requestNumber(index+1)), startTime.Add(time.Second))
 	}
-	must.LessEq(t, mostCases, len(m.ledger.cases))
-	must.Eq(t, Held, m.Verdict(poison, began).State)
-	must.LessEq(t, mostWaiting, len(m.waiting))
+	must.LessEq(t, maxRequests, len(m.ledger.histories))
+	must.Eq(t, Held, m.Verdict(poison, startTime).State)
+	must.LessEq(t, maxUnsent, len(m.unsent))
 }
 
-// After a pause other nodes are asked at once.
-func TestPauseAsksOthers(t *testing.T) {
+// After the process was suspended, other nodes must be queried at once.
+func TestPauseTriggersQuery(t *testing.T) {
 	m := newMachine("a")
-	m.Step(Peers{Addresses: []string{"a", "b"}}, began)
-	m.Step(Heard{Message{From: "b", Answer: true}}, began)
-	must.SliceEmpty(t, m.Step(Tick{}, began.Add(pauseAfter/2)))
-	woken := began.Add(pauseAfter/2 + 5*time.Second)
-	effects := m.Step(Tick{}, woken)
+	m.Step(Peers{Addresses: []string{"a", "b"}}, startTime)
+	m.Step(MessageReceived{Message{From: "b", IsReply: true}}, startTime)
+	must.SliceEmpty(t, m.Step(Tick{}, startTime.Add(pauseThreshold/2)))
+	resumed := startTime.Add(pauseThreshold/2 + 5*time.Second)
+	effects := m.Step(Tick{}, resumed)
 	must.Eq(t, []Effect{
 		Log{Event: EventPaused, Gap: 5 * time.Second},
-		Send{To: []string{"b"}, Message: Message{From: "a", Ask: true}},
+		Send{To: []string{"b"}, Message: Message{From: "a", RequestRecords: true}},
 	}, effects)
 }
 
-// drawRecords draws what may be observed of two requests.
+// drawRecords draws possible records of two requests.
 func drawRecords(t *rapid.T) []Record {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Record {
 		return Record{
@@ -134,50 +135,51 @@
 			Kind:        rapid.SampledFrom([]Kind{Crashed, Tried, Released}).Draw(t, "kind"),
 			Generation:  uint32(rapid.IntRange(0, 2).Draw(t, "generation")),
 			Source:      fmt.Sprint("i-", rapid.IntRange(0, 4).Draw(t, "source")),
-			At:          began,
+			At:          startTime,
 		}
 	}), 0, 12).Draw(t, "records")
 }
 
-// Nodes that heard the same records know the same, in whatever order and however often.
-func TestOrderDoesNotMatter(t *testing.T) {
+// Nodes that receive the same records in any order and any number of times must have the same
+// state.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawRecords(t)
 		one, other := newLedger(), newLedger()
 		for _, record := range records {
-			one.join(record, began)
+			one.merge(record, startTime)
 		}
 		shuffled := slices.Concat(records, records)
 		rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)).Shuffle(len(shuffled), func(a, b int) {
 			shuffled[a], shuffled[b] = shuffled[b], shuffled[a]
 		})
 		for _, record := range shuffled {
-			other.join(record, began)
+			other.merge(record, startTime)
 		}
 		must.Eq(t, one.sum, other.sum)
-		for fingerprint, history := range one.cases {
-			must.Eq(t, history.verdict(began), other.cases[fingerprint].verdict(began))
+		for fingerprint, history := range one.histories {
+			must.Eq(t, history.verdict(startTime), other.histories[fingerprint].verdict(startTime))
 		}
 	})
 }
 
-// What a node tells when asked leads another one to the same knowledge.
-func TestRecordsRebuildALedger(t *testing.T) {
+// The records that a node sends in a reply must give another node the same state.
+func TestRecordsRebuildLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := newLedger(), newLedger()
 		for _, record := range drawRecords(t) {
-			one.join(record, began)
+			one.merge(record, startTime)
 		}
-		for _, record := range one.mostImportant(mostPages*mostTold, began) {
-			other.join(record, began)
+		for _, record := range one.mostImportant(maxReplyDatagrams*maxRecordsPerMessage, startTime) {
+			other.merge(record, startTime)
 		}
 		must.Eq(t, one.sum, other.sum)
 	})
 }
 
-// All nodes that know of the same instances name the same owner, and the loss of another
-// instance does not move it.
-func TestOwner(t *testing.T) {
+// All nodes with the same instances must choose the same trial owner, and removing another
+// instance must not change it.
+func TestTrialOwnerIsStable(t *testing.T) {
 	instances := []string{"i-1", "i-2", "i-3", "i-4"}
 	owners := map[string]int{}
 	for number := range 100 {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -7,33 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says what a record tells of a request.
+// Kind is the kind of a record.
 type Kind string
 
 // The kinds of records.
 const (
-	Crashed  Kind = "crashed"  // a worker ended while it ran the request
-	Tried    Kind = "tried"    // a request that was held was sent to one worker, as a trial
-	Released Kind = "released" // the request was answered by a worker, or let go by an operator
+	Crashed  Kind = "crashed"  // a worker crashed while it ran the request
+	Tried    Kind = "tried"    // one copy of the held request was sent to a worker as a trial
+	Released Kind = "released" // a worker responded to the request, or an operator released it
 )
 
-// valid reports whether the kind is known.
+// valid reports whether the kind is one of these.
 func (k Kind) valid() bool { return k == Crashed || k == Tried || k == Released }
 
-// Record is one observation. Two of one fingerprint, kind, generation and source are the
-// same one, by whatever way they came.
+// Record is one observation. Records with the same fingerprint, kind, generation and source are
+// the same record.
 type Record struct {
 	Fingerprint Fingerprint
 	Kind        Kind
-	// Generation counts how often the request was released, from 0. What was observed in
-	// a generation counts for nothing once it is closed by a release, so that the order in
-	// which nodes hear of an end and of a release doesn't matter, nor do their clocks.
+	// Generation is the number of releases of the request before the record. Records of a
+	// generation have no effect once a release has ended it, so that neither the order in which
+	// nodes receive crashes and releases nor their clocks matter.
 	Generation uint32
-	Source     string // id of the instance that ended, ran the trial or answered, or who let the request go
+	Source     string // id of the instance that crashed, ran the trial or responded, or the name of the operator
 	At         time.Time
 }
 
-// identity is a digest of what makes a record one and the same.
+// identity returns a digest of the fields that identify a record. A release is identified
+// without its source, since any release ends the generation.
 func (r *Record) identity() uint64 {
 	digest := xxhash.New()
 	_, _ = digest.Write(r.Fingerprint[:]) // a hash returns no error
@@ -45,9 +46,9 @@
 	return digest.Sum64()
 }
 
-// Owner returns the instance that may run the trials of a request: the first by rendezvous
-// hash, "" if there is none. Nodes that know of the same instances name the same one, so
-// that no two of them try a request at a time.
+// Owner returns the instance that may run the trials of a request, chosen by rendezvous
+// hashing; "" if there are no instances. Nodes with the same instances choose the same one, so
+// that no two of them run a trial at the same time.
 func Owner(f Fingerprint, instances []string) string {
 	owner, highest := "", uint64(0)
 	for _, instance := range instances {
