--- a/internal/snapshot/catalog.go
+++ b/internal/snapshot/catalog.go
@@ -11,56 +11,56 @@
 	"sliphead/internal/version"
 )
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service   string
 	Weight    int
-	Endpoints []Endpoint // of this route alone; nil: the view's of the service
+	Endpoints []Endpoint // for this route only; nil: the view's endpoints of the service
 }
 
-// Local is the instance beside this node, as the catalog records it.
+// Local is the local worker's instance, as recorded in the catalog.
 type Local struct {
-	Instance      string // its incarnation: what is learnt of it is not of the one before
-	ID            string // by which requests name it to itself
+	Instance      string // its incarnation, so that measurements of a previous incarnation are not applied to it
+	ID            string // id by which requests address it
 	Service       string
-	Slots         int // requests that it runs at once
-	Connections   int // open connections to it at most, 0: not told
+	Slots         int // maximum number of concurrent requests
+	Connections   int // maximum number of open connections; 0: unspecified
 	Draining      bool
-	Evacuated     bool          // whether its zone is to be sent nothing
-	Cold          time.Duration // for how long it was cold when its record was written
-	ColdStart     time.Duration // for how long a worker of its service is cold after its start
-	ColdPerSecond float64       // requests a second that it bears while it is cold; 0: not bounded
-	HealthPath    string        // on which it tells of itself, "" if it doesn't
-	Lapsed        bool          // whether its record is gone without a word of leaving
-	Until         time.Time     // of one that lapsed: until when, by package clock, it may be sent requests all the same
+	Evacuated     bool          // whether no requests are to be sent to its zone
+	Cold          time.Duration // remaining cold time when its record was written
+	ColdStart     time.Duration // duration of the cold start of workers of its service
+	ColdPerSecond float64       // requests a second that it can serve while it is cold; 0: not bounded
+	HealthPath    string        // path of its health check; "" if it has none
+	Lapsed        bool          // whether its record expired without a deregistration
+	Until         time.Time     // if Lapsed: until when, by package clock, it may still receive requests
 }
 
-// LapsedInstance is an instance whose record is gone without a word of leaving.
+// LapsedInstance is an instance whose record expired without a deregistration.
 type LapsedInstance struct {
 	catalog.Instance
-	Until time.Time // until when, by package clock, it may be sent requests all the same
+	Until time.Time // until when, by package clock, it may still receive requests
 }
 
-// CatalogInput is what a catalog is resolved with.
+// CatalogInput is the input for the resolution of a catalog.
 type CatalogInput struct {
 	At            time.Time
-	WorkerAddress string            // host:port of the worker beside this node
-	InboundPort   string            // on which every node takes requests for its worker
+	WorkerAddress string            // host:port of the local worker
+	InboundPort   string            // port of every node's inbound listener
 	Regions       map[string]string // by zone
 	Lapsed        []LapsedInstance
 	Zone          string // of this node
-	Before        *View  // the view before, whose routes serve on while the configuration is the same; nil: none
+	Before        *View  // the previous view, whose routes are reused while the configuration is unchanged; nil: none
 }
 
-// FromCatalog returns the view of a catalog, nil while it holds no
-// configuration. A draining instance is no endpoint.
+// FromCatalog returns the view of a catalog, or nil while the catalog has no configuration.
+// Draining instances are not endpoints.
 func FromCatalog(state *catalog.State, input CatalogInput) *View {
 	configuration := state.Configuration()
 	if configuration == nil {
 		return nil
 	}
 	instances := state.Instances()
-	view := viewOfRoutes(configuration, input)
+	view := viewWithRoutes(configuration, input)
 	view.Evacuated = state.Evacuated()
 	view.endpoints = endpointsByService(instances, configuration, input, view.Evacuated)
 	view.Nodes = len(instances)
@@ -69,14 +69,14 @@
 	return view
 }
 
-// viewOfRoutes returns a view with the configuration's routes and without instances.
-// Routes are made once for each configuration: workers change far more often, on each
-// change all nodes make a view, and a mesh of hundreds of nodes has thousands of routes.
-func viewOfRoutes(configuration *catalog.Configuration, input CatalogInput) *View {
-	if before := input.Before; before != nil && before.configuration == configuration {
-		same := *before
-		same.Resolved = input.At
-		return &same
+// viewWithRoutes returns a view with the configuration's routes and without instances. Routes
+// are built only once for each configuration: workers change far more often, all nodes build a
+// view after each change, and a mesh of hundreds of nodes has thousands of routes.
+func viewWithRoutes(configuration *catalog.Configuration, input CatalogInput) *View {
+	if previous := input.Before; previous != nil && previous.configuration == configuration {
+		copied := *previous
+		copied.Resolved = input.At
+		return &copied
 	}
 	storage := make([]Route, len(configuration.Routes))
 	routes := make([]*Route, len(configuration.Routes))
@@ -101,8 +101,8 @@
 	return v.endpoints[target.Service]
 }
 
-// endpointsByService returns the endpoints of instances that take requests, and of
-// those that lapsed. Evacuated zones have none.
+// endpointsByService returns the endpoints of instances that accept requests, and of lapsed
+// ones. Evacuated zones have no endpoints.
 func endpointsByService(instances []catalog.Instance, configuration *catalog.Configuration, input CatalogInput, evacuated []string) map[string][]Endpoint {
 	endpoints := make(map[string][]Endpoint)
 	add := func(instance catalog.Instance, lapsed bool) {
@@ -156,7 +156,7 @@
 	return route
 }
 
-// localInstance returns the instance at the worker's address.
+// localInstance returns the instance at the worker's address, or a zero Local if there is none.
 func localInstance(instances []catalog.Instance, configuration *catalog.Configuration, input CatalogInput) Local {
 	for _, instance := range instances {
 		if instance.Address == input.WorkerAddress {
@@ -189,7 +189,8 @@
 	}
 }
 
-// indexHosts lets Match find the routes of one host without looking at others.
+// indexHosts builds the index by which Match finds the routes of a host without a scan of all
+// routes.
 func (v *View) indexHosts() {
 	v.byHost = make(map[string][]*Route)
 	for _, route := range v.Routes {
--- a/internal/snapshot/catalog_bench_test.go
+++ b/internal/snapshot/catalog_bench_test.go
@@ -8,8 +8,8 @@
 	"sliphead/internal/catalog"
 )
 
-// BenchmarkFromCatalog builds the view of a node among 95 with 1700 routes, after a change
-// of the configuration or of one worker's record.
+// BenchmarkFromCatalog measures FromCatalog with 95 nodes and 1700 routes, after a change of
+// the configuration and after a change of one worker's record.
 func BenchmarkFromCatalog(b *testing.B) {
 	state := catalog.NewState()
 	configuration := &catalog.Configuration{Version: 1, Services: map[string]catalog.Service{"shop": {}}}
--- a/internal/snapshot/entry.go
+++ b/internal/snapshot/entry.go
@@ -8,23 +8,23 @@
 	"sliphead/internal/fault"
 )
 
-// entry is a resource with what its body says. Entries are immutable and shared
-// by the sets of successive versions.
+// entry is a resource with its decoded body. Entries are immutable and shared by the sets of
+// successive versions.
 type entry struct {
 	Resource
-	value any  // pointer to the declared item; nil for a secret and while the body is missing
-	sound bool // whether the item keeps the rules on single items
+	value any  // pointer to the declared item; nil while the body is missing, except for a secret
+	valid bool // whether the item satisfies the rules for single items
 }
 
 // newEntry checks a resource against its digest and decodes it.
 func newEntry(resource Resource) (entry, error) {
-	made := entry{Resource: resource}
+	created := entry{Resource: resource}
 	if resource.Kind == KindSecret {
 		secret := declaration.Secret{Name: resource.Name, Digest: resource.Digest}
-		made.value, made.sound = &secret, declaration.ValidItem(secret)
+		created.value, created.valid = &secret, declaration.ValidItem(secret)
 	}
 	if resource.Body == nil {
-		return made, nil
+		return created, nil
 	}
 	if !bodyMatches(resource, resource.Body) {
 		return entry{}, fault.New(fault.Peer, "pull from another peer", "body of %s does not match its digest", resource.Key)
@@ -33,36 +33,36 @@
 	switch resource.Kind {
 	case KindSecret:
 	case KindZone:
-		made.value, made.sound, err = decode[declaration.Zone](resource)
+		created.value, created.valid, err = decode[declaration.Zone](resource)
 	case KindService:
-		made.value, made.sound, err = decode[declaration.Service](resource)
+		created.value, created.valid, err = decode[declaration.Service](resource)
 	case KindWorker:
-		made.value, made.sound, err = decode[declaration.Worker](resource)
+		created.value, created.valid, err = decode[declaration.Worker](resource)
 	case KindSelector:
-		made.value, made.sound, err = decode[declaration.Selector](resource)
+		created.value, created.valid, err = decode[declaration.Selector](resource)
 	case KindRoute:
-		made.value, made.sound, err = decode[declaration.Route](resource)
+		created.value, created.valid, err = decode[declaration.Route](resource)
 	default:
 		err = fault.New(fault.Peer, "run the same release on all nodes", "unknown kind of resource %q", resource.Kind)
 	}
-	return made, err
+	return created, err
 }
 
-// newEntries makes sorted entries of resources.
+// newEntries returns the sorted entries of resources.
 func newEntries(resources []Resource) ([]entry, error) {
 	entries := make([]entry, 0, len(resources))
 	for _, resource := range resources {
-		made, err := newEntry(resource)
+		created, err := newEntry(resource)
 		if err != nil {
 			return nil, err
 		}
-		entries = append(entries, made)
+		entries = append(entries, created)
 	}
 	slices.SortFunc(entries, func(a, b entry) int { return a.Key.compare(b.Key) })
 	return entries, nil
 }
 
-// decode reads a body and applies the rules on single items.
+// decode decodes a body and checks the rules for single items.
 func decode[T declaration.Item](resource Resource) (value any, sound bool, err error) {
 	var item T
 	if err := json.Unmarshal(resource.Body, &item); err != nil {
@@ -71,7 +71,7 @@
 	return &item, declaration.ValidItem(item), nil
 }
 
-// addTo puts the declared item back into a document.
+// addTo appends the declared item to a document.
 func (e entry) addTo(document *declaration.Document) {
 	switch item := e.value.(type) {
 	case *declaration.Zone:
@@ -89,7 +89,7 @@
 	}
 }
 
-// search finds a key in sorted entries.
+// search returns the index of a key in sorted entries, or where to insert it.
 func search(entries []entry, key Key) (index int, found bool) {
-	return slices.BinarySearchFunc(entries, key, func(held entry, wanted Key) int { return held.Key.compare(wanted) })
+	return slices.BinarySearchFunc(entries, key, func(existing entry, wanted Key) int { return existing.Key.compare(wanted) })
 }
--- a/internal/snapshot/match.go
+++ b/internal/snapshot/match.go
@@ -5,15 +5,13 @@
 	"strings"
 )
 
-// Match returns the route of a request, nil if none matches. A route for the
-// request's host comes before routes for any host; then the longest prefix
-// wins. A prefix matches whole path segments: /api matches /api and /api/x,
-// not /apix.
+// Match returns the route of a request, or nil if none matches. Routes for the request's host
+// take precedence over routes for any host, and longer prefixes over shorter ones. A prefix
+// matches whole path segments: /api matches /api and /api/x, but not /apix.
 //
-// The host may carry a port and is compared without regard to case. The path is
-// the decoded one (url.URL.Path). A path with empty, . or .. segments within
-// matches nothing: a worker might take it for another route's, with other rules
-// on repeating.
+// The host may include a port and is compared case-insensitively. The path must be decoded
+// (url.URL.Path). A path with an empty, . or .. segment matches nothing: a worker might resolve
+// it to the path of another route, with other rules on retries.
 func (v *View) Match(host, path, method string) *Route {
 	if ambiguous(path) {
 		return nil
@@ -24,8 +22,8 @@
 	return v.match("", path, method)
 }
 
-// match returns the first route of that host in the order of the view. The
-// empty host stands for routes for any host.
+// match returns the first matching route of a host, in the order of the view. The empty host
+// selects the routes for any host.
 func (v *View) match(host, path, method string) *Route {
 	routes := v.Routes
 	if v.byHost != nil {
@@ -43,14 +41,14 @@
 	return len(methods) == 0 || slices.Contains(methods, method)
 }
 
-// prefixMatches compares whole segments.
+// prefixMatches reports whether the prefix matches whole segments of the path.
 func prefixMatches(prefix, path string) bool {
 	prefix = strings.TrimSuffix(prefix, "/")
 	rest, found := strings.CutPrefix(path, prefix)
 	return found && (rest == "" && prefix != "" || strings.HasPrefix(rest, "/"))
 }
 
-// hostName drops the port and the root's trailing dot.
+// hostName removes the port and the trailing dot.
 func hostName(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon > strings.LastIndexByte(host, ']') {
 		host = host[:colon]
@@ -58,7 +56,7 @@
 	return strings.TrimSuffix(host, ".")
 }
 
-// ambiguous reports whether others might take the path for another one.
+// ambiguous reports whether a worker might resolve the path to another one.
 func ambiguous(path string) bool {
 	if strings.Contains(path, "//") {
 		return true
--- a/internal/snapshot/match_test.go
+++ b/internal/snapshot/match_test.go
@@ -10,7 +10,7 @@
 	"sliphead/internal/version"
 )
 
-// viewOf returns a view over routes in the order in which Compile sorts them.
+// viewOf returns a view of routes, sorted by Compile.
 func viewOf(t *testing.T, routes ...declaration.Route) *View {
 	document := documentFor(t)
 	document.Selectors = []declaration.Selector{{Name: "all", Service: "storefront"}}
--- a/internal/snapshot/resolve.go
+++ b/internal/snapshot/resolve.go
@@ -8,16 +8,16 @@
 	"sliphead/internal/declaration"
 )
 
-// ResolveInput is what a set is resolved with.
+// ResolveInput is the input for the resolution of a set.
 type ResolveInput struct {
 	At          time.Time
-	Overlap     time.Duration // how long before and after its window the local worker accepts a route; under a minute
-	LocalWorker string        // worker beside this node, "" on an edge
-	Endpoints   []Endpoint    // live and ready; Slots and Connections are filled from the declarations
+	Overlap     time.Duration // how long before and after a window the local worker still accepts its route; less than a minute
+	LocalWorker string        // name of the local worker; "" on an edge node
+	Endpoints   []Endpoint    // live and ready; Slots and Connections are set from the declarations
 }
 
-// Resolve compiles a set and resolves it once. It refuses a set that is not
-// complete. See Compiled.Resolve.
+// Resolve compiles a set and resolves it once. It returns an error if the set is not complete.
+// See Compiled.Resolve.
 func Resolve(set *Set, input ResolveInput) (*View, error) {
 	compiled, err := Compile(set)
 	if err != nil {
@@ -26,18 +26,17 @@
 	return compiled.Resolve(input), nil
 }
 
-// Resolve returns the view of one moment. A route's endpoints are the given
-// ones whose workers are declared for its service and selected by any of its
-// selectors at that moment.
+// Resolve returns the view at a given time. The endpoints of a route are those given whose
+// workers are declared for its service and selected by any of its selectors at that time.
 //
-// The local worker is allowed a route while it is selected, was selected an
-// overlap ago (the window has just ended, a caller's clock may be behind) or
-// will be in an overlap (a caller's clock may be ahead).
+// The local worker may serve a route while it is selected, and also if it was selected one
+// overlap ago (the window has just closed, and the caller's clock may be behind) or will be
+// selected one overlap later (the caller's clock may be ahead).
 func (c *Compiled) Resolve(input ResolveInput) *View {
 	live := c.liveByWorker(input.Endpoints)
-	now := c.openGates(input.At)
-	before := c.openGates(input.At.Add(-input.Overlap))
-	after := c.openGates(input.At.Add(input.Overlap))
+	now := c.openSelectors(input.At)
+	before := c.openSelectors(input.At.Add(-input.Overlap))
+	after := c.openSelectors(input.At.Add(input.Overlap))
 	local, found := c.workerIndex[input.LocalWorker]
 	if !found {
 		local = noWorker
@@ -46,13 +45,13 @@
 	for index, pool := range c.pools {
 		resolved[index] = resolvedPool{
 			endpoints:    pool.endpoints(now, live),
-			localAllowed: pool.admits(local, now) || pool.admits(local, before) || pool.admits(local, after),
+			localAllowed: pool.selects(local, now) || pool.selects(local, before) || pool.selects(local, after),
 		}
 	}
 	return NewView(c.set.Version(), input.At, c.resolvedRoutes(resolved))
 }
 
-// resolvedPool is a pool at one moment. Routes of one pool share its endpoints.
+// resolvedPool is a pool at a given time. Routes with the same pool share its endpoints.
 type resolvedPool struct {
 	endpoints    []Endpoint
 	localAllowed bool
@@ -74,9 +73,9 @@
 	return routes
 }
 
-// liveByWorker returns the endpoints of each declared worker, by the worker's
-// index, with what is declared of the worker. Others are dropped. It counts
-// before it places, since sorting them all would cost most of a resolution.
+// liveByWorker groups the endpoints of declared workers by the worker's index and sets the
+// declared limits. Endpoints of other workers are dropped. It counts the endpoints of each
+// worker first, since sorting all endpoints would take most of the time of a resolution.
 func (c *Compiled) liveByWorker(endpoints []Endpoint) [][]Endpoint {
 	indices := make([]int, len(endpoints))
 	counts := make([]int, len(c.workers))
@@ -91,10 +90,10 @@
 		counts[index]++
 		total++
 	}
-	live := divide(make([]Endpoint, total), counts)
+	live := splitStorage(make([]Endpoint, total), counts)
 	for position, index := range indices {
 		if index != noWorker {
-			live[index] = append(live[index], filled(endpoints[position], &c.workers[index]))
+			live[index] = append(live[index], withDeclaredLimits(endpoints[position], &c.workers[index]))
 		}
 	}
 	for _, group := range live {
@@ -103,8 +102,8 @@
 	return live
 }
 
-// divide cuts the storage into empty slices with the capacities given.
-func divide(storage []Endpoint, capacities []int) [][]Endpoint {
+// splitStorage divides the storage into empty slices with the given capacities.
+func splitStorage(storage []Endpoint, capacities []int) [][]Endpoint {
 	parts := make([][]Endpoint, len(capacities))
 	for index, capacity := range capacities {
 		parts[index] = storage[:0:capacity]
@@ -113,30 +112,29 @@
 	return parts
 }
 
-// filled returns the endpoint with the worker's declared capacity.
-func filled(endpoint Endpoint, worker *declaration.Worker) Endpoint {
+// withDeclaredLimits returns the endpoint with the worker's declared slots and connections.
+func withDeclaredLimits(endpoint Endpoint, worker *declaration.Worker) Endpoint {
 	endpoint.Slots = worker.Slots
 	endpoint.Connections = worker.Connections
 	return endpoint
 }
 
-// openGates evaluates each gate at a moment.
-func (c *Compiled) openGates(at time.Time) []bool {
+// openSelectors returns which zone selectors are open at a given time.
+func (c *Compiled) openSelectors(at time.Time) []bool {
 	schedules := make([]bool, len(c.schedules))
 	for index, schedule := range c.schedules {
 		schedules[index] = schedule.Open(at)
 	}
-	open := make([]bool, len(c.gates))
-	for index, gate := range c.gates {
-		open[index] = gate.open(schedules)
+	open := make([]bool, len(c.zoneSelectors))
+	for index, selector := range c.zoneSelectors {
+		open[index] = selector.open(schedules)
 	}
 	return open
 }
 
-// NextResolve returns the first moment after a given one at which Resolve with
-// that overlap may give other routes for the same endpoints: a boundary, or the
-// begin or end of the overlap round it. It is the zero time when NextBoundary
-// is.
+// NextResolve returns the first time after a given one at which Resolve with that overlap may
+// return other routes for the same endpoints: a boundary, or the start or end of the overlap
+// around it. It returns the zero time if NextBoundary does.
 func (c *Compiled) NextResolve(after time.Time, overlap time.Duration) time.Time {
 	var next time.Time
 	for _, shift := range []time.Duration{-overlap, 0, overlap} {
@@ -151,9 +149,9 @@
 	return next
 }
 
-// NextBoundary returns the first moment after a given one at which a window
-// opens or closes, the zero time if none does within sixteen days: long enough
-// for a weekly window that one change of daylight saving time swallows.
+// NextBoundary returns the first time after a given one at which a window opens or closes, or
+// the zero time if there is none within sixteen days. This covers a weekly window of which one
+// occurrence is skipped by a change to daylight saving time.
 func (c *Compiled) NextBoundary(after time.Time) time.Time {
 	for _, horizon := range []time.Duration{2 * day, 16 * day} {
 		var moments []time.Time
--- a/internal/snapshot/resolve_bench_test.go
+++ b/internal/snapshot/resolve_bench_test.go
@@ -8,7 +8,7 @@
 	"sliphead/internal/declaration"
 )
 
-// The size that the system is designed for.
+// The size for which the system is designed.
 const (
 	targetWorkers  = 850
 	targetServices = 29
@@ -16,8 +16,8 @@
 	targetZones    = 5
 )
 
-// targetSize returns declarations and live endpoints at the target size. Each
-// service has workers for the day, for the night and for always.
+// targetSize returns declarations and live endpoints of the target size. Each service has
+// workers for the day, for the night and for all hours.
 func targetSize(b *testing.B) (*Compiled, ResolveInput) {
 	document := &declaration.Document{}
 	for index := range targetZones {
--- a/internal/snapshot/resolve_compile.go
+++ b/internal/snapshot/resolve_compile.go
@@ -9,48 +9,48 @@
 	"sliphead/internal/fault"
 )
 
-// Compiled is a complete set in the form in which it is resolved again and
-// again, as endpoints change and windows open and close. It is immutable.
+// Compiled is a complete set in a form that can be resolved repeatedly, as endpoints change and
+// windows open and close. It is immutable.
 type Compiled struct {
-	set         *Set
-	workers     []declaration.Worker // sorted by name
-	workerIndex map[string]int
-	schedules   []declaration.Schedule // each distinct one once
-	gates       []gate                 // one for each selector and zone that match
-	pools       []pool                 // one for each distinct set of selectors
-	routes      []compiledRoute        // in the order in which they are matched
+	set           *Set
+	workers       []declaration.Worker // sorted by name
+	workerIndex   map[string]int
+	schedules     []declaration.Schedule // without duplicates
+	zoneSelectors []zoneSelector         // one for each selector and each zone that it matches
+	pools         []pool                 // one for each distinct combination of service and selectors
+	routes        []compiledRoute        // in matching order
 }
 
-// noWorker is the index of no worker.
+// noWorker is an index that refers to no worker.
 const noWorker = -1
 
-// gate is a selector in one zone: it lets that zone's matching workers through
-// while one of its schedules is open.
-type gate struct {
+// zoneSelector is a selector in one zone. It selects matching workers of that zone while one of
+// its schedules is open.
+type zoneSelector struct {
 	always    bool
 	schedules []int // indices into Compiled.schedules
 }
 
-func (g gate) open(schedules []bool) bool {
+func (g zoneSelector) open(schedules []bool) bool {
 	return g.always || slices.ContainsFunc(g.schedules, func(index int) bool { return schedules[index] })
 }
 
-// candidate is a worker that some selector may select.
+// candidate is a worker that may be selected.
 type candidate struct {
-	worker int
-	gates  []int // selected while one of them is open
+	worker    int
+	selectors []int // indices into Compiled.zoneSelectors; the worker is selected while one of them is open
 }
 
 func (c candidate) selected(open []bool) bool {
-	return slices.ContainsFunc(c.gates, func(index int) bool { return open[index] })
+	return slices.ContainsFunc(c.selectors, func(index int) bool { return open[index] })
 }
 
-// pool is the union of the workers of a set of selectors.
+// pool is the union of the workers of several selectors.
 type pool struct {
 	candidates []candidate // sorted by worker
 }
 
-// endpoints returns the live endpoints of the workers selected, by worker name.
+// endpoints returns the live endpoints of the selected workers, sorted by worker name.
 func (p pool) endpoints(open []bool, live [][]Endpoint) []Endpoint {
 	endpoints := make([]Endpoint, 0, len(p.candidates))
 	for _, candidate := range p.candidates {
@@ -61,24 +61,24 @@
 	return slices.Clip(endpoints)
 }
 
-// admits reports whether the worker is selected.
-func (p pool) admits(worker int, open []bool) bool {
+// selects reports whether the worker is selected.
+func (p pool) selects(worker int, open []bool) bool {
 	index, found := slices.BinarySearchFunc(p.candidates, worker, func(c candidate, wanted int) int {
 		return cmp.Compare(c.worker, wanted)
 	})
 	return found && p.candidates[index].selected(open)
 }
 
-// compiledRoute is a route with what does not depend on time or endpoints.
+// compiledRoute is the part of a route that does not depend on time or endpoints.
 type compiledRoute struct {
 	declared   declaration.Route
 	credential string
 	pool       int
 }
 
-// Compile prepares a set for Resolve. It refuses a set with missing resources,
-// or with a route whose service, selector or secret the set does not name, with
-// an error of kind fault.Unready that names them.
+// Compile prepares a set for Resolve. If resources are missing, or if a route refers to a
+// service, selector or secret that is not in the set, it returns an error of kind fault.Unready
+// that names them.
 func Compile(set *Set) (*Compiled, error) {
 	if missing := set.Missing(); len(missing) > 0 {
 		return nil, fault.New(fault.Unready, "wait for them, or check that the source serves them",
@@ -95,8 +95,8 @@
 	return compiler.compiled, nil
 }
 
-// compareRoutes puts the longest prefix first, then routes of one host, then
-// goes by name.
+// compareRoutes orders routes by prefix, the longest first, then puts routes for a given host
+// before those for any host, then orders by name.
 func compareRoutes(a, b compiledRoute) int {
 	return cmp.Or(
 		cmp.Compare(len(b.declared.PathPrefix), len(a.declared.PathPrefix)),
--- a/internal/snapshot/resolve_compiler.go
+++ b/internal/snapshot/resolve_compiler.go
@@ -9,30 +9,30 @@
 	"sliphead/internal/fault"
 )
 
-// compiler builds a Compiled and remembers what it has built already.
+// compiler builds a Compiled. Its maps avoid building the same part twice.
 type compiler struct {
-	compiled  *Compiled
-	zones     map[string]declaration.Zone
-	services  map[string]bool
-	selectors map[string]declaration.Selector
-	byService map[string][]int // indices of workers
-	schedules map[declaration.Schedule]int
-	gates     map[gateKey]int
-	pools     map[string]int // by the sorted names of their selectors
+	compiled      *Compiled
+	zones         map[string]declaration.Zone
+	services      map[string]bool
+	selectors     map[string]declaration.Selector
+	byService     map[string][]int // indices of workers
+	schedules     map[declaration.Schedule]int
+	zoneSelectors map[zoneSelectorKey]int
+	pools         map[string]int // by service and sorted names of selectors
 }
 
-type gateKey struct{ selector, zone string }
+type zoneSelectorKey struct{ selector, zone string }
 
 func newCompiler(set *Set, document *declaration.Document) *compiler {
 	result := &compiler{
-		compiled:  &Compiled{set: set, workers: slices.Clone(document.Workers), workerIndex: make(map[string]int)},
-		zones:     make(map[string]declaration.Zone),
-		services:  make(map[string]bool),
-		selectors: make(map[string]declaration.Selector),
-		byService: make(map[string][]int),
-		schedules: make(map[declaration.Schedule]int),
-		gates:     make(map[gateKey]int),
-		pools:     make(map[string]int),
+		compiled:      &Compiled{set: set, workers: slices.Clone(document.Workers), workerIndex: make(map[string]int)},
+		zones:         make(map[string]declaration.Zone),
+		services:      make(map[string]bool),
+		selectors:     make(map[string]declaration.Selector),
+		byService:     make(map[string][]int),
+		schedules:     make(map[declaration.Schedule]int),
+		zoneSelectors: make(map[zoneSelectorKey]int),
+		pools:         make(map[string]int),
 	}
 	result.index(document)
 	return result
@@ -58,13 +58,13 @@
 
 func (c *compiler) addRoute(route declaration.Route) error {
 	if !c.services[route.Service] {
-		return lacking(route, KindService, route.Service)
+		return missingReference(route, KindService, route.Service)
 	}
 	credential := ""
 	if route.Secret != "" {
-		value, held := c.compiled.set.SecretValue(route.Secret)
-		if !held {
-			return lacking(route, KindSecret, route.Secret)
+		value, found := c.compiled.set.SecretValue(route.Secret)
+		if !found {
+			return missingReference(route, KindSecret, route.Secret)
 		}
 		credential = value
 	}
@@ -76,76 +76,77 @@
 	return nil
 }
 
-func lacking(route declaration.Route, kind Kind, name string) error {
+func missingReference(route declaration.Route, kind Kind, name string) error {
 	return fault.New(fault.Unready, "wait for it, or check that the source serves it",
 		"route %q needs %s %q, which is not held", route.Name, kind, name)
 }
 
-// pool returns the index of the pool of a route's selectors.
+// pool returns the index of the pool of a route's selectors, which it builds if needed.
 func (c *compiler) pool(route declaration.Route) (int, error) {
 	names := slices.Sorted(slices.Values(route.Selectors))
 	key := route.Service + " " + strings.Join(names, " ")
 	if index, found := c.pools[key]; found {
 		return index, nil
 	}
-	gatesOf := make(map[int][]int)
+	selectorsOf := make(map[int][]int)
 	for _, name := range names {
-		selector, held := c.selectors[name]
-		if !held {
-			return 0, lacking(route, KindSelector, name)
+		selector, found := c.selectors[name]
+		if !found {
+			return 0, missingReference(route, KindSelector, name)
 		}
-		if err := c.connect(selector, c.byService[route.Service], gatesOf); err != nil {
+		if err := c.addCandidates(selector, c.byService[route.Service], selectorsOf); err != nil {
 			return 0, err
 		}
 	}
 	c.pools[key] = len(c.compiled.pools)
-	c.compiled.pools = append(c.compiled.pools, newPool(gatesOf))
+	c.compiled.pools = append(c.compiled.pools, newPool(selectorsOf))
 	return c.pools[key], nil
 }
 
-func newPool(gatesOf map[int][]int) pool {
-	candidates := make([]candidate, 0, len(gatesOf))
-	for worker, gates := range gatesOf {
-		candidates = append(candidates, candidate{worker: worker, gates: gates})
+func newPool(selectorsOf map[int][]int) pool {
+	candidates := make([]candidate, 0, len(selectorsOf))
+	for worker, selectors := range selectorsOf {
+		candidates = append(candidates, candidate{worker: worker, selectors: selectors})
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.worker, b.worker) })
 	return pool{candidates: candidates}
 }
 
-// connect notes the gates through which a selector may select each worker.
-func (c *compiler) connect(selector declaration.Selector, workers []int, gatesOf map[int][]int) error {
+// addCandidates adds, for each worker that the selector matches, the index of the zone
+// selector.
+func (c *compiler) addCandidates(selector declaration.Selector, workers []int, selectorsOf map[int][]int) error {
 	for _, index := range workers {
 		worker := c.compiled.workers[index]
-		zone, held := c.zones[worker.Zone]
-		if !held || !selector.MatchesWorker(worker) || !selector.MatchesZone(zone) {
+		zone, found := c.zones[worker.Zone]
+		if !found || !selector.MatchesWorker(worker) || !selector.MatchesZone(zone) {
 			continue
 		}
-		gate, err := c.gate(selector, zone)
+		selectorIndex, err := c.zoneSelector(selector, zone)
 		if err != nil {
 			return err
 		}
-		gatesOf[index] = append(gatesOf[index], gate)
+		selectorsOf[index] = append(selectorsOf[index], selectorIndex)
 	}
 	return nil
 }
 
-// gate returns the index of the gate of a selector in a zone.
-func (c *compiler) gate(selector declaration.Selector, zone declaration.Zone) (int, error) {
-	key := gateKey{selector: selector.Name, zone: zone.Name}
-	if index, found := c.gates[key]; found {
+// zoneSelector returns the index of a selector in a zone, which it builds if needed.
+func (c *compiler) zoneSelector(selector declaration.Selector, zone declaration.Zone) (int, error) {
+	key := zoneSelectorKey{selector: selector.Name, zone: zone.Name}
+	if index, found := c.zoneSelectors[key]; found {
 		return index, nil
 	}
 	schedules, err := selector.Schedules(zone)
 	if err != nil {
 		return 0, err
 	}
-	built := gate{always: len(schedules) == 0}
+	built := zoneSelector{always: len(schedules) == 0}
 	for _, schedule := range schedules {
 		built.schedules = append(built.schedules, c.schedule(schedule))
 	}
-	c.gates[key] = len(c.compiled.gates)
-	c.compiled.gates = append(c.compiled.gates, built)
-	return c.gates[key], nil
+	c.zoneSelectors[key] = len(c.compiled.zoneSelectors)
+	c.compiled.zoneSelectors = append(c.compiled.zoneSelectors, built)
+	return c.zoneSelectors[key], nil
 }
 
 func (c *compiler) schedule(schedule declaration.Schedule) int {
--- a/internal/snapshot/resolve_test.go
+++ b/internal/snapshot/resolve_test.go
@@ -13,7 +13,7 @@
 	"sliphead/internal/fault"
 )
 
-// init fixes the seed of the property tests.
+// init sets the seed of the property tests.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "100", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -90,7 +90,7 @@
 	must.Eq(t, []string{"day-1", "day-1", "night-1"}, workersOf(view.Route("any")))
 	must.Eq(t, Endpoint{Worker: "day-1", Node: "node-2", Address: "127.0.0.1:9002", Slots: 6, Connections: 130}, view.Route("day").Endpoints[0])
 	must.Eq(t, "till-value", view.Route("day").Credential)
-	must.Zero(t, input.Endpoints[1].Slots) // the caller's slice is left alone
+	must.Zero(t, input.Endpoints[1].Slots) // the caller's slice must not be changed
 
 	input.At = at(t, "21:00:00")
 	view = compiled.Resolve(input)
@@ -98,7 +98,7 @@
 	must.Eq(t, []string{"night-1"}, workersOf(view.Route("shop")))
 }
 
-func TestLocalWorkerIsAllowedForTheOverlap(t *testing.T) {
+func TestLocalWorkerIsAllowedDuringOverlap(t *testing.T) {
 	compiled := compiledOf(t, scheduled(t))
 	cases := map[string]bool{
 		"08:59:49": false, "08:59:50": true, "09:00:00": true, "20:59:59": true, "21:00:09": true, "21:00:10": false,
@@ -112,15 +112,15 @@
 	must.False(t, edge.Route("any").LocalAllowed)
 }
 
-func TestNextMoments(t *testing.T) {
+func TestNextBoundaryAndNextResolve(t *testing.T) {
 	compiled := compiledOf(t, scheduled(t))
 	must.Eq(t, at(t, "21:00:00").UTC(), compiled.NextBoundary(at(t, "09:00:00")))
-	var shown []string
-	for moment := at(t, "12:00:00"); len(shown) < 4; {
+	var moments []string
+	for moment := at(t, "12:00:00"); len(moments) < 4; {
 		moment = compiled.NextResolve(moment, overlap)
-		shown = append(shown, moment.In(at(t, "12:00:00").Location()).Format("02 15:04:05"))
+		moments = append(moments, moment.In(at(t, "12:00:00").Location()).Format("02 15:04:05"))
 	}
-	must.Eq(t, []string{"02 20:59:50", "02 21:00:00", "02 21:00:10", "03 08:59:50"}, shown)
+	must.Eq(t, []string{"02 20:59:50", "02 21:00:00", "02 21:00:10", "03 08:59:50"}, moments)
 
 	document := scheduled(t)
 	for index := range document.Selectors {
@@ -129,9 +129,8 @@
 	must.True(t, compiledOf(t, document).NextResolve(at(t, "12:00:00"), overlap).IsZero())
 }
 
-// TestNoRouteWithoutItsSecret: a route is never resolved before its secret is
-// held, and no other route of that version either.
-func TestNoRouteWithoutItsSecret(t *testing.T) {
+// While the secret of one route is missing, no route of that version may be resolved.
+func TestResolveFailsWithoutSecret(t *testing.T) {
 	set, err := Build(scheduled(t), 1, map[string]string{"till": "old-value"})
 	must.NoError(t, err)
 	view, err := Resolve(set, ResolveInput{At: at(t, "12:00:00")})
@@ -146,16 +145,17 @@
 	must.Eq(t, "till-value", view.Route("day").Credential)
 }
 
-// TestNoRouteToWhatIsNotNamed covers sets that never passed validation.
-func TestNoRouteToWhatIsNotNamed(t *testing.T) {
-	spoilers := map[string]func(*declaration.Document){
+// Compile must reject a set with a reference to an undeclared item. Such sets do not pass
+// validation.
+func TestCompileRejectsUnknownReferences(t *testing.T) {
+	removals := map[string]func(*declaration.Document){
 		`service`:  func(d *declaration.Document) { d.Services = d.Services[:1] },
 		`secret`:   func(d *declaration.Document) { d.Secrets = nil },
 		`selector`: func(d *declaration.Document) { d.Selectors = d.Selectors[:2] },
 	}
-	for kind, spoil := range spoilers {
+	for kind, remove := range removals {
 		document := scheduled(t)
-		spoil(document)
+		remove(document)
 		set, err := Build(document, 1, map[string]string{"till": "till-value"})
 		must.NoError(t, err)
 		compiled, err := Compile(set)
@@ -165,9 +165,9 @@
 	}
 }
 
-// TestResolveAgreesWithTheEvaluator draws labels, windows and moments, and
-// compares with the plain evaluation of the declarations.
-func TestResolveAgreesWithTheEvaluator(t *testing.T) {
+// Resolve must select the same workers as declaration.Evaluator, for random labels, windows and
+// times.
+func TestResolveMatchesEvaluator(t *testing.T) {
 	shifts := rapid.SampledFrom([]string{"day", "night", "always"})
 	hours := rapid.IntRange(0, 23)
 	rapid.Check(t, func(check *rapid.T) {
--- a/internal/snapshot/resource.go
+++ b/internal/snapshot/resource.go
@@ -21,22 +21,22 @@
 	KindSecret   Kind = "secret"
 )
 
-// Key names a resource within a set.
+// Key identifies a resource within a set.
 type Key struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// Resource is one declared thing. Its body may be missing: a secret's value is
-// read apart from the declaration that names it.
+// Resource is one declared item. Its body may be missing: the value of a secret is read
+// separately from the declaration that names it.
 type Resource struct {
 	Key
-	Digest string          `json:"digest"` // SHA-256 in hexadecimal of the body, of the bare value for a secret
+	Digest string          `json:"digest"` // SHA-256 of the body in hexadecimal; for a secret, of its value
 	Body   json.RawMessage `json:"body,omitempty"`
 }
 
-// Delta leads from one version to another. A delta from the zero version
-// carries the whole set.
+// Delta is the difference between two versions. A delta from the zero version contains the
+// whole set.
 type Delta struct {
 	From   version.Version `json:"from"`
 	To     version.Version `json:"to"`
@@ -44,7 +44,7 @@
 	Remove []Key           `json:"remove,omitempty"`
 }
 
-// split turns a document into resources. Secrets have no body yet.
+// split returns the resources of a document. Secrets have no body yet.
 func split(document *declaration.Document) ([]Resource, error) {
 	var resources []Resource
 	var failure error
@@ -77,7 +77,7 @@
 	return resources, failure
 }
 
-// secretResources returns the given values that the document names.
+// secretResources returns resources for the given values of secrets that the document declares.
 func secretResources(document *declaration.Document, values map[string]string) []Resource {
 	var resources []Resource
 	for _, secret := range document.Secrets {
--- a/internal/snapshot/scope_bench_test.go
+++ b/internal/snapshot/scope_bench_test.go
@@ -11,39 +11,39 @@
 	"sliphead/internal/declaration"
 )
 
-// scopeOf keeps what nodes of a service need that call some other services: the
-// zones, and the services' workers, selectors and routes.
+// scopeOf returns the part of a document that a node needs which calls only some services: the
+// zones, and the workers, selectors and routes of these services.
 func scopeOf(document *declaration.Document, services int) *declaration.Document {
-	kept := &declaration.Document{Zones: document.Zones}
+	scope := &declaration.Document{Zones: document.Zones}
 	wanted := map[string]bool{}
 	for index := range services {
 		wanted[fmt.Sprintf("service-%d", index)] = true
 	}
 	for _, service := range document.Services {
 		if wanted[service.Name] {
-			kept.Services = append(kept.Services, service)
+			scope.Services = append(scope.Services, service)
 		}
 	}
 	for _, worker := range document.Workers {
 		if wanted[worker.Service] {
-			kept.Workers = append(kept.Workers, worker)
+			scope.Workers = append(scope.Workers, worker)
 		}
 	}
 	for _, selector := range document.Selectors {
 		if wanted[selector.Service] {
-			kept.Selectors = append(kept.Selectors, selector)
+			scope.Selectors = append(scope.Selectors, selector)
 		}
 	}
 	for _, route := range document.Routes {
 		if wanted[route.Service] {
-			kept.Routes = append(kept.Routes, route)
+			scope.Routes = append(scope.Routes, route)
 		}
 	}
-	return kept
+	return scope
 }
 
-// BenchmarkScope weighs a whole set against scopes of some services, at the
-// target's size: bytes of one transfer, deflated, and heap of one set held.
+// BenchmarkScope compares a whole set with sets for some services, at the target size: the
+// bytes of one transfer, plain and deflated, and the heap used by one set.
 func BenchmarkScope(b *testing.B) {
 	compiled, _ := targetSize(b)
 	for _, services := range []int{2, 6, targetServices} {
--- a/internal/snapshot/set.go
+++ b/internal/snapshot/set.go
@@ -1,6 +1,6 @@
-// Package snapshot holds a configuration version as an immutable set of
-// resources, the differences between two sets, and what traffic reads: routes
-// with their endpoints, resolved for one moment. It holds no sockets.
+// Package snapshot represents a configuration version as an immutable set of resources,
+// differences between sets, and the view that traffic reads: routes with their endpoints,
+// resolved for a given time. It uses no sockets.
 package snapshot
 
 import (
@@ -15,18 +15,18 @@
 	"sliphead/internal/version"
 )
 
-// Set is one configuration version: every resource that it names, with the
-// bodies held so far. It is immutable and safe for any number of readers.
+// Set is one configuration version: all resources that it names, with the bodies received so
+// far. It is immutable and safe for concurrent use.
 type Set struct {
 	version version.Version
 	entries []entry // sorted by key
 }
 
-// Empty returns the set of a node that holds nothing.
+// Empty returns a set without resources.
 func Empty() *Set { return &Set{} }
 
-// Build splits a document into resources. Values of secrets that are not given
-// or do not match the declared digest stay missing.
+// Build splits a document into resources. The bodies of secrets are missing if their values are
+// not given or do not match the declared digest.
 func Build(document *declaration.Document, revision uint64, secrets map[string]string) (*Set, error) {
 	resources, err := split(document)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return set.WithBodies(secretResources(document, secrets)), nil
 }
 
-// newSet derives the version's digest from sorted entries.
+// newSet computes the version's digest from sorted entries.
 func newSet(epoch, revision uint64, entries []entry) *Set {
 	return &Set{
 		version: version.Version{Epoch: epoch, Revision: revision, Digest: digestOf(entries)},
@@ -51,26 +51,27 @@
 // Version returns the version of the set.
 func (s *Set) Version() version.Version { return s.version }
 
-// Len returns the number of resources named, held or not.
+// Len returns the number of resources, including those with a missing body.
 func (s *Set) Len() int { return len(s.entries) }
 
-// Missing returns the keys of the resources whose bodies are not held, sorted.
+// Missing returns the keys of the resources with a missing body, sorted.
 func (s *Set) Missing() []Key {
 	var missing []Key
-	for _, held := range s.entries {
-		if held.Body == nil {
-			missing = append(missing, held.Key)
+	for _, existing := range s.entries {
+		if existing.Body == nil {
+			missing = append(missing, existing.Key)
 		}
 	}
 	return missing
 }
 
-// Complete reports whether all bodies are held.
+// Complete reports whether no body is missing.
 func (s *Set) Complete() bool {
-	return !slices.ContainsFunc(s.entries, func(held entry) bool { return held.Body == nil })
+	return !slices.ContainsFunc(s.entries, func(existing entry) bool { return existing.Body == nil })
 }
 
-// Lookup returns a resource by key. Its body is nil while it is missing.
+// Lookup returns a resource by its key, and false if the set does not contain it. The body may
+// be nil.
 func (s *Set) Lookup(key Key) (Resource, bool) {
 	index, found := search(s.entries, key)
 	if !found {
@@ -79,9 +80,8 @@
 	return s.entries[index].Resource, true
 }
 
-// WithBodies returns a set in which missing bodies are filled from resources.
-// Resources that the set does not name, or whose bodies do not match the
-// named digest, are passed over.
+// WithBodies returns a set with missing bodies filled in from resources. It ignores resources
+// that are not in the set or whose bodies do not match the digest in the set.
 func (s *Set) WithBodies(resources []Resource) *Set {
 	filled := slices.Clone(s.entries)
 	for _, resource := range resources {
@@ -90,33 +90,33 @@
 			continue
 		}
 		resource.Digest = filled[index].Digest
-		if fresh, err := newEntry(resource); err == nil {
-			filled[index] = fresh
+		if created, err := newEntry(resource); err == nil {
+			filled[index] = created
 		}
 	}
 	return &Set{version: s.version, entries: filled}
 }
 
-// Diff returns the delta that leads from one set to another.
+// Diff returns the delta between two sets.
 func Diff(from, to *Set) Delta {
 	delta := Delta{From: from.version, To: to.version}
 	for _, wanted := range to.entries {
-		held, found := from.Lookup(wanted.Key)
-		if !found || held.Digest != wanted.Digest || held.Body == nil {
+		existing, found := from.Lookup(wanted.Key)
+		if !found || existing.Digest != wanted.Digest || existing.Body == nil {
 			delta.Put = append(delta.Put, wanted.Resource)
 		}
 	}
-	for _, held := range from.entries {
-		if _, found := to.Lookup(held.Key); !found {
-			delta.Remove = append(delta.Remove, held.Key)
+	for _, existing := range from.entries {
+		if _, found := to.Lookup(existing.Key); !found {
+			delta.Remove = append(delta.Remove, existing.Key)
 		}
 	}
 	return delta
 }
 
-// Apply returns the set that the delta leads to. It refuses a delta that starts
-// elsewhere, a body that does not match its digest and a result whose digest is
-// not that of the version named.
+// Apply returns the set that results from a delta. It returns an error if the delta starts from
+// another version, if a body does not match its digest, or if the resulting version differs
+// from the announced one.
 func (s *Set) Apply(delta Delta) (*Set, error) {
 	if delta.From != s.version {
 		return nil, fault.New(fault.Peer, "pull with the version held", "delta starts at %s, held is %s", delta.From, s.version)
@@ -146,27 +146,28 @@
 	return set, nil
 }
 
-// Document puts the declarations together again. Missing bodies are left out.
-// Maps and slices within are shared with the set and must not be changed.
+// Document returns the declarations of the set as a document. Items with a missing body are
+// left out, except for secrets, whose declarations need no body. Maps and slices in it are
+// shared with the set and must not be changed.
 func (s *Set) Document() *declaration.Document {
 	document := &declaration.Document{Epoch: s.version.Epoch}
-	for _, held := range s.entries {
-		held.addTo(document)
+	for _, existing := range s.entries {
+		existing.addTo(document)
 	}
 	return document
 }
 
-// Validate returns what is wrong with the declarations, as declaration.Validate
-// does. Rules on single items were applied when their bodies came, so that a
-// small change to a large set costs little.
+// Validate returns the findings of declaration.Validate for the set. The rules for single items
+// were checked when their bodies were added, so that a small change to a large set is cheap to
+// validate.
 func (s *Set) Validate() []declaration.Finding {
-	if slices.ContainsFunc(s.entries, func(held entry) bool { return !held.sound }) {
+	if slices.ContainsFunc(s.entries, func(existing entry) bool { return !existing.valid }) {
 		return declaration.Validate(s.Document())
 	}
 	return declaration.ValidateRelations(s.Document())
 }
 
-// SecretValue returns the value of a secret, and false while it is not held.
+// SecretValue returns the value of a secret, and false while it is missing.
 func (s *Set) SecretValue(name string) (string, bool) {
 	resource, found := s.Lookup(Key{Kind: KindSecret, Name: name})
 	if !found || resource.Body == nil {
@@ -177,16 +178,16 @@
 	return value, err == nil
 }
 
-// SecretResource returns a secret's value as a resource to fill a set with.
+// SecretResource returns a resource with the value of a secret, for use with Set.WithBodies.
 func SecretResource(name, value string) Resource {
 	body, _ := json.Marshal(value) // a string always marshals
 	return Resource{Key: Key{Kind: KindSecret, Name: name}, Digest: secretDigest(value), Body: body}
 }
 
-// secretDigest is the digest that operators declare: SHA-256 of the bare value.
+// secretDigest returns the digest that operators declare: SHA-256 of the value itself.
 func secretDigest(value string) string { return hashHex([]byte(value)) }
 
-// bodyMatches checks a body against the digest under which it is named.
+// bodyMatches reports whether a body matches the digest of the resource.
 func bodyMatches(named Resource, body json.RawMessage) bool {
 	if body == nil {
 		return false
@@ -201,17 +202,17 @@
 	return secretDigest(value) == named.Digest
 }
 
-// digestOf hashes the sorted keys and digests. Bodies do not count: a set has
-// its version before the secrets' values have come.
+// digestOf hashes the sorted keys and digests. Bodies are not included, so that a set has its
+// version before the values of its secrets arrive.
 func digestOf(entries []entry) string {
 	hash := sha256.New()
 	var line []byte
-	for _, held := range entries {
-		line = append(line[:0], held.Kind...)
+	for _, existing := range entries {
+		line = append(line[:0], existing.Kind...)
 		line = append(line, 0)
-		line = append(line, held.Name...)
+		line = append(line, existing.Name...)
 		line = append(line, 0)
-		line = append(line, held.Digest...)
+		line = append(line, existing.Digest...)
 		line = append(line, '\n')
 		hash.Write(line)
 	}
--- a/internal/snapshot/set_test.go
+++ b/internal/snapshot/set_test.go
@@ -55,14 +55,14 @@
 	}
 }
 
-func TestApplyRefusesWhatDoesNotAddUp(t *testing.T) {
+func TestApplyRejectsInconsistentDelta(t *testing.T) {
 	set, err := Build(documentFor(t), 3, nil)
 	must.NoError(t, err)
 	whole := Diff(Empty(), set)
 
-	wrongStart := whole
-	wrongStart.From = version.Version{Revision: 1}
-	_, err = Empty().Apply(wrongStart)
+	wrongFrom := whole
+	wrongFrom.From = version.Version{Revision: 1}
+	_, err = Empty().Apply(wrongFrom)
 	must.ErrorContains(t, err, "delta starts at")
 
 	wrongDigest := whole
@@ -77,23 +77,23 @@
 	must.ErrorContains(t, err, "does not match its digest")
 }
 
-func TestValidateOfASetAgreesWithThatOfItsDocument(t *testing.T) {
-	sound := documentFor(t, "till")
-	unsound := documentFor(t)
-	unsound.Workers[0].Name = "No Name"
+func TestSetValidateMatchesDocumentValidate(t *testing.T) {
+	valid := documentFor(t, "till")
+	invalid := documentFor(t)
+	invalid.Workers[0].Name = "No Name"
 	dangling := documentFor(t)
 	dangling.Workers[0].Zone = "elsewhere"
 	repeated := documentFor(t)
 	repeated.Zones = nil
 
-	for _, document := range []*declaration.Document{sound, unsound, dangling, repeated} {
+	for _, document := range []*declaration.Document{valid, invalid, dangling, repeated} {
 		set, err := Build(document, 1, nil)
 		must.NoError(t, err)
 		must.Eq(t, texts(declaration.Validate(set.Document())), texts(set.Validate()))
 	}
 }
 
-func TestApplyRefusesABodyThatDoesNotDecode(t *testing.T) {
+func TestApplyRejectsUndecodableBody(t *testing.T) {
 	body := json.RawMessage(`{"name":7}`)
 	resource := Resource{Key: Key{Kind: KindWorker, Name: "worker"}, Digest: hashHex(body), Body: body}
 	to := newSet(1, 1, []entry{{Resource: resource}}).Version()
--- a/internal/snapshot/tenants.go
+++ b/internal/snapshot/tenants.go
@@ -2,75 +2,75 @@
 
 import "sliphead/internal/catalog"
 
-// tenants finds the tenants of a configuration.
+// tenants is an index of the tenants of a configuration.
 type tenants struct {
-	byKey  map[catalog.KeyDigest]*catalog.Tenant
-	byTag  map[string]*catalog.Tenant
-	byName map[string]*catalog.Tenant
-	most   float64 // the highest limit, in requests a second; 1 where there is none
-	usual  float64 // the mean of the tenants' weights
+	byKey      map[catalog.KeyDigest]*catalog.Tenant
+	byTag      map[string]*catalog.Tenant
+	byName     map[string]*catalog.Tenant
+	maxRate    float64 // the highest limit, in requests a second; 1 if no tenant has a limit
+	meanWeight float64 // mean of the tenants' weights
 }
 
-// newTenants returns the index of a configuration's tenants, nil where callers need no key.
-func newTenants(held []catalog.Tenant) *tenants {
-	if held == nil {
+// newTenants returns an index of a configuration's tenants, or nil if callers need no key.
+func newTenants(configured []catalog.Tenant) *tenants {
+	if configured == nil {
 		return nil
 	}
-	index := &tenants{byKey: make(map[catalog.KeyDigest]*catalog.Tenant), byTag: make(map[string]*catalog.Tenant), byName: make(map[string]*catalog.Tenant, len(held))}
-	for place := range held {
-		tenant := &held[place]
+	index := &tenants{byKey: make(map[catalog.KeyDigest]*catalog.Tenant), byTag: make(map[string]*catalog.Tenant), byName: make(map[string]*catalog.Tenant, len(configured))}
+	for position := range configured {
+		tenant := &configured[position]
 		index.byName[tenant.Name] = tenant
 		for _, key := range tenant.Keys {
 			index.byKey[key] = tenant
 			index.byTag[key.Tag()] = tenant
 		}
-		index.most = max(index.most, tenant.RatePerSecond)
+		index.maxRate = max(index.maxRate, tenant.RatePerSecond)
 	}
-	index.weigh(held)
+	index.computeWeights(configured)
 	return index
 }
 
-// weigh finds what the weights of tenants without a limit, and of unknown ones, are.
-func (t *tenants) weigh(held []catalog.Tenant) {
-	if t.most == 0 {
-		t.most = 1
+// computeWeights sets the weight of tenants without a limit and that of unknown tenants.
+func (t *tenants) computeWeights(configured []catalog.Tenant) {
+	if t.maxRate == 0 {
+		t.maxRate = 1
 	}
-	t.usual = t.most
-	if len(held) == 0 {
+	t.meanWeight = t.maxRate
+	if len(configured) == 0 {
 		return
 	}
 	total := 0.0
-	for place := range held {
-		total += t.weight(&held[place])
+	for position := range configured {
+		total += t.weight(&configured[position])
 	}
-	t.usual = total / float64(len(held))
+	t.meanWeight = total / float64(len(configured))
 }
 
 func (t *tenants) weight(tenant *catalog.Tenant) float64 {
 	if tenant.RatePerSecond > 0 {
 		return tenant.RatePerSecond
 	}
-	return t.most
+	return t.maxRate
 }
 
-// TenantWeight returns how much a tenant may have in proportion to others: as its limit
-// says, as the tenant with the highest one where it has none, and as much as tenants have
-// in the middle where it is not known.
+// TenantWeight returns a tenant's weight relative to others: its limit in requests a second,
+// the highest limit of any tenant if it has none, and the mean weight if it is unknown. It is 1
+// if there are no tenants.
 func (v *View) TenantWeight(name string) float64 {
 	switch tenant := v.Tenant(name); {
 	case v.tenants == nil:
 		return 1
 	case tenant == nil:
-		return v.tenants.usual
+		return v.tenants.meanWeight
 	default:
 		return v.tenants.weight(tenant)
 	}
 }
 
-// HasTenants reports whether callers need a tenant's key, but for public routes.
+// HasTenants reports whether callers need a tenant's key for routes that are not public.
 func (v *View) HasTenants() bool { return v.tenants != nil }
 
-// TenantOf returns the tenant that holds a key, nil if none does.
+// TenantOf returns the tenant with a key, or nil if there is none.
 func (v *View) TenantOf(key catalog.KeyDigest) *catalog.Tenant {
 	if v.tenants == nil {
 		return nil
@@ -78,7 +78,7 @@
 	return v.tenants.byKey[key]
 }
 
-// TenantOfTag returns the tenant that holds the key with a tag, nil if none does.
+// TenantOfTag returns the tenant with a key that has this tag, or nil if there is none.
 func (v *View) TenantOfTag(tag string) *catalog.Tenant {
 	if v.tenants == nil {
 		return nil
@@ -86,7 +86,7 @@
 	return v.tenants.byTag[tag]
 }
 
-// Tenant returns the tenant of that name, nil if there is none.
+// Tenant returns the tenant of that name, or nil if there is none.
 func (v *View) Tenant(name string) *catalog.Tenant {
 	if v.tenants == nil {
 		return nil
@@ -94,5 +94,6 @@
 	return v.tenants.byName[name]
 }
 
-// SetTenants puts tenants in force in a view that is not published yet.
-func (v *View) SetTenants(held []catalog.Tenant) { v.tenants = newTenants(held) }
+// SetTenants replaces the tenants of a view. It must not be called after the view was
+// published.
+func (v *View) SetTenants(configured []catalog.Tenant) { v.tenants = newTenants(configured) }
--- a/internal/snapshot/tenants_test.go
+++ b/internal/snapshot/tenants_test.go
@@ -8,8 +8,8 @@
 	"sliphead/internal/catalog"
 )
 
-// Tenants weigh what they may send; who has no limit weighs as much as the largest, and who
-// is not known as much as tenants do in the middle.
+// The weight of a tenant must be its limit; that of a tenant without a limit, the highest
+// limit; and that of an unknown tenant, the mean of all weights.
 func TestTenantWeights(t *testing.T) {
 	view := &View{}
 	must.Eq(t, 1, view.TenantWeight("any"))
--- a/internal/snapshot/view.go
+++ b/internal/snapshot/view.go
@@ -9,60 +9,60 @@
 	"sliphead/internal/version"
 )
 
-// Endpoint is a worker that a route may reach now.
+// Endpoint is a worker that may currently receive requests of a route.
 type Endpoint struct {
 	Worker      string
-	Node        string // name of the node beside the worker
+	Node        string // name of the worker's node
 	Zone        string
 	Region      string
 	Address     string // host:port of that node's inbound listener
 	Slots       int
 	Connections int
-	ReadySince  time.Time // when this node first saw it ready, for slow start
-	Local       bool      // whether the worker is the one beside this node
-	Lapsed      bool      // whether its record is gone without a word of leaving: its node knows whether it lives
+	ReadySince  time.Time // when this node first observed that it is ready, for slow start
+	Local       bool      // whether it is the local worker
+	Lapsed      bool      // whether its record expired without a deregistration; its node knows whether the worker still runs
 }
 
-// Route is a declared route with all that it needs.
+// Route is a declared route, resolved for use by traffic.
 type Route struct {
 	declaration.Route
-	Credential string     // the secret's value, "" when the route names none
-	Endpoints  []Endpoint // sorted by worker name; empty when no selector's window is open
-	// Overlap holds whether the local worker is selected, or was until the
-	// schedule overlap ago: the last hop accepts such requests.
+	Credential string     // value of the route's secret; "" if it has none
+	Endpoints  []Endpoint // sorted by worker name; empty while no selector's window is open
+	// LocalAllowed reports whether the local worker accepts requests of the route: it is
+	// selected now, or was or will be selected within the schedule overlap.
 	LocalAllowed bool
 
-	// What only a catalog tells.
-	Targets     []Target      // with their weights; Endpoints is unused then
-	Rank        int           // priority, 0 is served first
-	MaxAttempts int           // workers that one request may be sent to
-	Objective   time.Duration // the latency within which an answer is worth most; 0: none
-	Upload      bool          // whether bodies are large
-	Regions     []string      // in which alone its requests may be; empty: in any
-	Public      bool          // whether callers need no key where there are tenants
+	// Set only for routes from a catalog.
+	Targets     []Target      // with their weights; Endpoints is unused if set
+	Rank        int           // priority; 0 is served first
+	MaxAttempts int           // maximum number of workers that one request may be sent to
+	Objective   time.Duration // latency objective; 0: none
+	Upload      bool          // whether requests have large bodies
+	Regions     []string      // the only regions in which its requests may be served; empty: any
+	Public      bool          // whether callers need no key although there are tenants
 }
 
-// View is what traffic reads: one version, resolved at one moment for one
-// node. It is immutable and never holds a route whose service or secret is
+// View is the configuration that traffic reads: one version, resolved at a given time for one
+// node. It is immutable once published and contains no route whose service or secret is
 // missing.
 type View struct {
 	Version   version.Version
 	Resolved  time.Time
 	Routes    []*Route // longest path prefix first
-	Nodes     int      // nodes that a catalog tells of
-	Evacuated []string // zones whose workers are to be sent nothing
-	Local     Local    // the worker beside this node, as a catalog records it
+	Nodes     int      // number of nodes in the catalog
+	Evacuated []string // zones whose workers must not receive requests
+	Local     Local    // the local worker, as recorded in the catalog
 	Limits    catalog.Limits
 	byName    map[string]*Route
-	byHost    map[string][]*Route // by host in lower case; nil: not indexed
+	byHost    map[string][]*Route // by host in lower case; nil: no index
 	tenants   *tenants            // nil: callers need no key
 
-	// What only a catalog tells.
-	configuration *catalog.Configuration // that the routes were made of
+	// Set only for views from a catalog.
+	configuration *catalog.Configuration // from which the routes were built
 	endpoints     map[string][]Endpoint  // by service, sorted by worker
 }
 
-// NewView returns a view over routes sorted by the caller.
+// NewView returns a view of the given routes, which must be sorted.
 func NewView(v version.Version, resolved time.Time, routes []*Route) *View {
 	view := &View{Version: v, Resolved: resolved, Routes: routes, byName: make(map[string]*Route, len(routes))}
 	for _, route := range routes {
@@ -71,11 +71,11 @@
 	return view
 }
 
-// Route returns the route of that name, nil if there is none.
+// Route returns the route of that name, or nil if there is none.
 func (v *View) Route(name string) *Route { return v.byName[name] }
 
-// Holder publishes views from control to traffic. Only control stores; any
-// goroutine may load.
+// Holder passes views from control to traffic. Store and Renew are called by control only;
+// Current may be called concurrently by any goroutine.
 type Holder struct {
 	view  atomic.Pointer[View]
 	until atomic.Pointer[time.Time]
@@ -84,13 +84,13 @@
 // Store publishes a view.
 func (h *Holder) Store(view *View) { h.view.Store(view) }
 
-// Renew extends the lease within which views may be used for new requests.
+// Renew extends the lease during which views may be used for new requests.
 func (h *Holder) Renew(until time.Time) { h.until.Store(&until) }
 
-// Current returns the newest view, and false when there is none yet or the
-// lease has ended: the process was paused and may believe things long past. It
-// ends by the monotonic clock or by the wall clock, whichever is first, because
-// the monotonic clock stands still while a machine is suspended.
+// Current returns the newest view, and false if there is none yet or the lease has expired,
+// which means that the process was paused and its view may be outdated. The lease expires by
+// the monotonic clock or by the wall clock, whichever is first, because the monotonic clock
+// stops while a machine is suspended.
 func (h *Holder) Current(now time.Time) (*View, bool) {
 	view := h.view.Load()
 	until := h.until.Load()
