--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -1,16 +1,17 @@
-// Package admission decides which requests run at a worker now, which wait and
-// which are refused: slots with a bounded queue by priority class (see class.go). It is
-// pure: the caller passes the time and carries out what is decided.
+// Package admission decides which requests a worker runs now, which are queued and which
+// are rejected. A worker has a fixed number of slots and a bounded queue ordered by
+// priority class (see class.go). The package is pure: the caller passes the time and
+// carries out the decisions.
 //
-// Lower classes wait while higher ones are queued, but a request that has
-// waited long is aged: one grant in Settings.AgedEvery goes to the oldest aged
-// request, so that no class starves and aged requests can't crowd out a higher
-// class. A request whose predicted wait leaves too little time for its run is
-// refused on arrival. Each class has some places in the queue to itself. Within a class
-// those go first whose tenants have had less of what they may have (see fair.go).
+// Higher classes are served first. To prevent starvation, one grant in Settings.AgedEvery
+// goes to the oldest request that has waited for at least Settings.AgeAfter; the fixed
+// share keeps aged requests from crowding out higher classes. A request is rejected on
+// arrival if its predicted wait leaves too little time to run. Each class has queue places
+// reserved for it. Within a class, requests are ordered by fair queueing across tenants
+// (see fair.go).
 //
-// A request that can't be answered in time any more, but whose caller won't come back,
-// waits in the late line (see late.go).
+// A request that can no longer meet its deadline, but whose caller will not retry, joins
+// the late queue (see late.go).
 package admission
 
 import (
@@ -18,12 +19,12 @@
 	"time"
 )
 
-// Settings bound the queue.
+// Settings configure the slots and the queue.
 type Settings struct {
-	Slots     int           // requests that run at once
-	Length    int           // requests that wait at most
-	AgeAfter  time.Duration // a request that has waited this long is aged
-	AgedEvery int           // one grant in so many goes to an aged request
+	Slots     int           // requests that run concurrently
+	Length    int           // maximum number of queued requests
+	AgeAfter  time.Duration // wait after which a request counts as aged
+	AgedEvery int           // one grant in this many goes to an aged request; 0: none
 }
 
 // Default settings.
@@ -32,54 +33,55 @@
 	DefaultAgedEvery = 20
 )
 
-// WaitShare divides the time that a request can spare beside its run: so much of it may
-// pass behind the work that is queued before it. A longer queue serves no more requests
-// and makes all of them late.
+// WaitShare bounds the predicted time behind queued work: a request may spend at most
+// 1/WaitShare of its spare time (time to the deadline, less the first grant and the run) on
+// it. A longer queue serves no more requests and makes all of them late.
 const WaitShare = 4
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict int
 
 // The verdicts.
 const (
-	Queued  Verdict = iota // it waits
-	Granted                // it runs now
-	Refused                // it does not run
+	Queued  Verdict = iota // waits for a slot
+	Granted                // may run now
+	Refused                // must not run
 )
 
-// Ticket is one request.
+// Ticket tracks one request from its arrival to the end of its run. Its exported fields are
+// updated by the methods of its queue.
 type Ticket[W any] struct {
-	Waiter     W // whom to tell
+	Waiter     W // caller's handle of the request, to be notified of the decision
 	Verdict    Verdict
-	RetryAfter time.Duration // when refused: the wait that was predicted
-	GiveUp     time.Time     // when queued: the last moment at which a grant is of use
+	RetryAfter time.Duration // when rejected: the predicted wait
+	GiveUp     time.Time     // when queued: the latest time at which a grant is still useful
 
 	class    Class
-	start    float64 // see fairness
+	start    float64 // virtual start time, see fairness
 	kind     kind
 	arrived  time.Time
 	granted  time.Time
 	deadline time.Time
-	waits    *list.List // in which it waits
+	queuedIn *list.List // list that holds the ticket while it is queued
 	element  *list.Element
 }
 
-// Queue holds the running and the waiting requests of one worker. It is not
-// safe for use by several goroutines at once.
+// Queue holds the running and the queued requests of one worker. It is not safe for
+// concurrent use.
 type Queue[W any] struct {
-	settings Settings
-	lines    []*line    // by class, the first served first
-	late     *list.List // of *Ticket[W]: see late.go
-	fair     fairness
-	length   int
-	busy     map[kind]int // running requests
-	running  int
-	grants   int
-	service  map[kind]*estimate
-	rate     grantRate
+	settings     Settings
+	classQueues  []*classQueue // sorted by class, highest priority first
+	late         *list.List    // of *Ticket[W], see late.go
+	fair         fairness
+	length       int
+	busy         map[kind]int // number of running requests by kind
+	running      int
+	grants       int
+	runEstimates map[kind]*estimate
+	rate         grantRate
 }
 
-// kind names requests that take like times.
+// kind groups requests with similar run times.
 type kind struct {
 	class Class
 	name  string
@@ -87,13 +89,13 @@
 
 // New returns an empty queue.
 func New[W any](settings Settings) *Queue[W] {
-	return &Queue[W]{settings: settings, lines: baseLines(), late: list.New(), fair: newFairness(), busy: map[kind]int{}, service: map[kind]*estimate{}}
+	return &Queue[W]{settings: settings, classQueues: newClassQueues(), late: list.New(), fair: newFairness(), busy: map[kind]int{}, runEstimates: map[kind]*estimate{}}
 }
 
 // Running returns the number of requests that hold a slot.
 func (q *Queue[W]) Running() int { return q.running }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of queued requests, the late queue included.
 func (q *Queue[W]) Waiting() int { return q.length }
 
 // Slots returns the number of slots.
@@ -104,15 +106,15 @@
 	return q.running < q.settings.Slots && q.length == 0 && q.rate.wait(now) == 0
 }
 
-// Outranks reports whether a less urgent request than one of the class runs or
-// waits: then the next slots that free are the class's.
+// Outranks reports whether a request of a lower priority than the class is running or
+// queued. If so, the next free slots go to the class.
 func (q *Queue[W]) Outranks(class Class) bool {
 	for of := range q.busy {
 		if of.class > class {
 			return true
 		}
 	}
-	for _, lower := range q.lines {
+	for _, lower := range q.classQueues {
 		if lower.class > class && lower.waiting.Len() > 0 {
 			return true
 		}
@@ -120,32 +122,33 @@
 	return false
 }
 
-// Resize changes the number of slots and returns the tickets that this decides.
+// Resize changes the number of slots and returns the tickets that were granted or rejected
+// as a result.
 func (q *Queue[W]) Resize(slots int, now time.Time) []*Ticket[W] {
 	q.settings.Slots = slots
 	return q.fill(now)
 }
 
-// Arrive takes in a request. The ticket tells its verdict; decided are other
-// tickets that had to give way to it.
+// Arrive is Take for a request without tenant, kind and late deadline.
 func (q *Queue[W]) Arrive(class Class, deadline, now time.Time, waiter W) (ticket *Ticket[W], decided []*Ticket[W]) {
 	return q.Take(Arrival[W]{Class: class, Deadline: deadline, Waiter: waiter}, now)
 }
 
-// Arrival is a request that is to be taken in.
+// Arrival describes a request for Take.
 type Arrival[W any] struct {
 	Class    Class
 	Tenant   string    // "" for none
-	Weight   float64   // of the tenant: it may have so much in proportion to others
-	Kind     string    // requests of one kind take like times; "" for the class's
-	Deadline time.Time // after which an answer is of no use
-	Waiter   W         // whom to tell
-	// Last, if set, is until when a late answer is of use to a caller that won't come
-	// back: what can't be answered by Deadline then joins the late line.
+	Weight   float64   // of the tenant; its share of the slots is proportional to it
+	Kind     string    // groups requests with similar run times; "" groups by class
+	Deadline time.Time // after which a response is of no use
+	Waiter   W         // copied to the ticket
+	// Last, if set, is the deadline for a late response to a caller that will not retry: a
+	// request that cannot meet Deadline then joins the late queue.
 	Last time.Time
 }
 
-// Take takes in a request, as Arrive does.
+// Take admits a request: it is granted, queued or rejected, as the ticket's Verdict shows.
+// decided holds the queued tickets that were evicted (rejected) to make room for it.
 func (q *Queue[W]) Take(arrival Arrival[W], now time.Time) (ticket *Ticket[W], decided []*Ticket[W]) {
 	class, deadline := arrival.Class, arrival.Deadline
 	ticket = &Ticket[W]{
@@ -162,76 +165,78 @@
 		return ticket, nil
 	}
 	first := q.firstGrant(now)
-	before, queued := q.place(class, ticket.start, ticket.kind, first, now)
+	before, queued := q.insertPosition(class, ticket.start, ticket.kind, first, now)
 	wait := first + queued
-	spare := deadline.Sub(now) - first - q.most(ticket.kind, now)
+	spare := deadline.Sub(now) - first - q.conservativeRun(ticket.kind, now)
 	if spare < 0 || queued > spare/WaitShare {
-		if !q.joinLate(ticket, first, arrival.Last, now) {
-			refuse(ticket, wait)
+		if !q.enqueueLate(ticket, first, arrival.Last, now) {
+			reject(ticket, wait)
 		}
 		return ticket, nil
 	}
 	if !q.hasRoom(class) {
-		victim := q.givesWayTo(ticket)
+		victim := q.evictionCandidate(ticket)
 		if victim == nil {
-			refuse(ticket, wait)
+			reject(ticket, wait)
 			return ticket, nil
 		}
 		q.remove(victim)
-		refuse(victim, q.predict(victim.class, victim.start, now))
+		reject(victim, q.predict(victim.class, victim.start, now))
 		decided = append(decided, victim)
-		before, _ = q.place(class, ticket.start, ticket.kind, first, now)
+		before, _ = q.insertPosition(class, ticket.start, ticket.kind, first, now)
 	}
-	q.enqueue(ticket, q.lineOf(class).waiting, before, now)
+	q.enqueue(ticket, q.classQueueOf(class).waiting, before, now)
 	return ticket, decided
 }
 
-// Cancel takes back a request that waits. It reports false when the request
-// waits no more; then it was decided and, if granted, must be ended by Done.
+// Cancel removes a queued request. It returns false if the request is not queued: it was
+// decided before and, if granted, must be ended by Done.
 func (q *Queue[W]) Cancel(ticket *Ticket[W], now time.Time) bool {
 	if ticket.element == nil {
 		return false
 	}
 	q.remove(ticket)
-	refuse(ticket, q.predict(ticket.class, ticket.start, now))
+	reject(ticket, q.predict(ticket.class, ticket.start, now))
 	return true
 }
 
-// Clear refuses all requests that wait, and returns their tickets.
+// Clear rejects all queued requests and returns their tickets.
 func (q *Queue[W]) Clear(now time.Time) []*Ticket[W] {
 	var decided []*Ticket[W]
-	for _, line := range q.lines {
-		decided = append(decided, q.clearLine(line.waiting)...)
+	for _, queue := range q.classQueues {
+		decided = append(decided, q.rejectAll(queue.waiting)...)
 	}
-	return append(decided, q.clearLine(q.late)...)
+	return append(decided, q.rejectAll(q.late)...)
 }
 
-func (q *Queue[W]) clearLine(waiting *list.List) []*Ticket[W] {
+func (q *Queue[W]) rejectAll(waiting *list.List) []*Ticket[W] {
 	var decided []*Ticket[W]
 	for front := waiting.Front(); front != nil; front = waiting.Front() {
 		ticket := front.Value.(*Ticket[W])
 		q.remove(ticket)
-		refuse(ticket, 0)
+		reject(ticket, 0)
 		decided = append(decided, ticket)
 	}
 	return decided
 }
 
-// Done ends a granted request and returns the tickets that this decides.
+// Done ends the run of a granted request, records its run time, and returns the tickets
+// that were granted or rejected as a result.
 func (q *Queue[W]) Done(ticket *Ticket[W], now time.Time) []*Ticket[W] {
 	q.running--
-	q.end(ticket.kind)
-	q.learn(ticket.kind, now.Sub(ticket.granted), now)
+	q.decrementBusy(ticket.kind)
+	q.observeRun(ticket.kind, now.Sub(ticket.granted), now)
 	return q.fill(now)
 }
 
-// enqueue puts a request into a line, before an element or, if that is nil, at the end.
+// enqueue inserts a request into a list, before the given element or, if that is nil, at
+// the end.
 func (q *Queue[W]) enqueue(ticket *Ticket[W], waits *list.List, before *list.Element, now time.Time) {
 	const marginShare = 20
-	margin := max(q.run(ticket.kind, now)/2, ticket.deadline.Sub(now)/marginShare)
+	margin := max(q.expectedRun(ticket.kind, now)/2, ticket.deadline.Sub(now)/marginShare)
 	ticket.GiveUp = ticket.deadline.Add(-margin)
 	ticket.Verdict = Queued
-	ticket.waits = waits
+	ticket.queuedIn = waits
 	if before == nil {
 		ticket.element = waits.PushBack(ticket)
 	} else {
@@ -241,7 +246,7 @@
 }
 
 func (q *Queue[W]) remove(ticket *Ticket[W]) {
-	ticket.waits.Remove(ticket.element)
+	ticket.queuedIn.Remove(ticket.element)
 	ticket.element = nil
 	q.length--
 }
@@ -256,20 +261,20 @@
 	q.fair.granted(ticket.start)
 }
 
-func refuse[W any](ticket *Ticket[W], wait time.Duration) {
+func reject[W any](ticket *Ticket[W], wait time.Duration) {
 	ticket.Verdict = Refused
 	ticket.RetryAfter = wait
 }
 
-// fill gives free slots to waiting requests, as the limit allows, and refuses those that
-// could no longer be served in time.
+// fill grants free slots to queued requests, within the rate limit, and rejects those that
+// can no longer be served in time.
 func (q *Queue[W]) fill(now time.Time) []*Ticket[W] {
 	var decided []*Ticket[W]
 	for q.running < q.settings.Slots && q.length > 0 && q.rate.wait(now) == 0 {
 		ticket := q.next(now)
 		q.remove(ticket)
 		if now.After(ticket.GiveUp) {
-			refuse(ticket, q.predict(ticket.class, ticket.start, now))
+			reject(ticket, q.predict(ticket.class, ticket.start, now))
 		} else {
 			q.grant(ticket, now)
 		}
@@ -278,9 +283,9 @@
 	return decided
 }
 
-// next chooses the request to be decided next.
+// next returns the queued request to be decided next.
 func (q *Queue[W]) next(now time.Time) *Ticket[W] {
-	if first := q.late.Front(); first != nil && q.lateTurn() {
+	if first := q.late.Front(); first != nil && q.isLateTurn() {
 		return first.Value.(*Ticket[W])
 	}
 	if q.settings.AgedEvery > 0 && (q.grants+1)%q.settings.AgedEvery == 0 {
@@ -288,8 +293,8 @@
 			return aged
 		}
 	}
-	for _, line := range q.lines {
-		if front := line.waiting.Front(); front != nil {
+	for _, queue := range q.classQueues {
+		if front := queue.waiting.Front(); front != nil {
 			return front.Value.(*Ticket[W])
 		}
 	}
@@ -298,8 +303,8 @@
 
 func (q *Queue[W]) oldestAged(now time.Time) *Ticket[W] {
 	var oldest *Ticket[W]
-	for _, line := range q.lines {
-		front := line.waiting.Front()
+	for _, queue := range q.classQueues {
+		front := queue.waiting.Front()
 		if front == nil {
 			continue
 		}
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -29,32 +29,32 @@
 	}
 }
 
-func TestLateRequestIsRefusedOnArrival(t *testing.T) {
+func TestRequestThatMissesDeadlineIsRejectedOnArrival(t *testing.T) {
 	queue := New[string](Settings{Slots: 1, Length: 8})
-	far := start.Add(time.Minute)
-	warm, _ := queue.Arrive(Interactive, far, start, "")
+	deadline := start.Add(time.Minute)
+	warm, _ := queue.Arrive(Interactive, deadline, start, "")
 	now := start.Add(100 * time.Millisecond)
 	queue.Done(warm, now) // a run takes 100 ms
-	queue.Arrive(Interactive, far, now, "")
-	queue.Arrive(Interactive, far, now, "")
+	queue.Arrive(Interactive, deadline, now, "")
+	queue.Arrive(Interactive, deadline, now, "")
 	late, _ := queue.Arrive(Interactive, now.Add(200*time.Millisecond), now, "")
 	must.Eq(t, Refused, late.Verdict)
 	must.Eq(t, 150*time.Millisecond, late.RetryAfter)
 	must.Eq(t, 1, queue.Waiting())
 }
 
-// The first of several long runs ends long before half of their time has passed:
-// a short request of a higher class waits for that alone. It was refused on a
-// forecast of half of all running work.
-func TestShortRequestWaitsForTheFirstSlot(t *testing.T) {
+// The first of several concurrent long runs ends well before half of their run time, and a
+// short request of a higher class waits only for that one. It was once rejected because the
+// forecast was half of all running work.
+func TestShortRequestWaitsOnlyForFirstFreeSlot(t *testing.T) {
 	const slots, run = 6, 840 * time.Millisecond
 	queue := New[string](Settings{Slots: slots, Length: 8})
-	far := start.Add(time.Minute)
-	warm, _ := queue.Arrive(Batch, far, start, "")
+	deadline := start.Add(time.Minute)
+	warm, _ := queue.Arrive(Batch, deadline, start, "")
 	now := start.Add(run)
 	queue.Done(warm, now)
 	for range slots {
-		queue.Arrive(Batch, far, now, "")
+		queue.Arrive(Batch, deadline, now, "")
 	}
 	urgent, _ := queue.Arrive(Interactive, now.Add(200*time.Millisecond), now, "")
 	must.Eq(t, Queued, urgent.Verdict)
@@ -62,32 +62,32 @@
 	must.Eq(t, run/(slots+1)+0, wait)
 }
 
-func TestFullQueueGivesWayToHigherClass(t *testing.T) {
+func TestFullQueueEvictsLowerClass(t *testing.T) {
 	queue := New[string](Settings{Slots: 1, Length: 1})
-	far := start.Add(time.Minute)
-	queue.Arrive(Batch, far, start, "")
-	waiting, _ := queue.Arrive(Batch, far, start, "")
-	urgent, decided := queue.Arrive(Internal, far, start, "")
+	deadline := start.Add(time.Minute)
+	queue.Arrive(Batch, deadline, start, "")
+	waiting, _ := queue.Arrive(Batch, deadline, start, "")
+	urgent, decided := queue.Arrive(Internal, deadline, start, "")
 	must.Eq(t, Queued, urgent.Verdict)
 	must.Len(t, 1, decided)
 	must.Eq(t, Refused, waiting.Verdict)
-	another, decided := queue.Arrive(Internal, far, start, "")
+	another, decided := queue.Arrive(Internal, deadline, start, "")
 	must.Eq(t, Refused, another.Verdict)
 	must.SliceEmpty(t, decided)
 }
 
-func TestCancelledRequestFreesItsPlace(t *testing.T) {
+func TestCancelledRequestFreesItsQueuePlace(t *testing.T) {
 	queue := New[string](Settings{Slots: 1, Length: 1})
-	far := start.Add(time.Minute)
-	running, _ := queue.Arrive(Batch, far, start, "")
-	waiting, _ := queue.Arrive(Batch, far, start, "")
+	deadline := start.Add(time.Minute)
+	running, _ := queue.Arrive(Batch, deadline, start, "")
+	waiting, _ := queue.Arrive(Batch, deadline, start, "")
 	must.True(t, queue.Cancel(waiting, start))
 	must.False(t, queue.Cancel(waiting, start))
 	must.SliceEmpty(t, queue.Done(running, start))
 	must.Zero(t, queue.Running())
 }
 
-// flow is one class's load in the simulation, or a tenant's in it.
+// flow is the simulated load of one class or of one tenant in it.
 type flow struct {
 	class    Class
 	perSec   float64
@@ -97,21 +97,22 @@
 	weight   float64
 }
 
-// tally counts what became of a flow's requests; held are those refused after a wait.
-type tally struct{ offered, inTime, late, refused, held int }
+// tally counts the outcomes of a flow's requests; rejectedLate counts those rejected after
+// queueing.
+type tally struct{ offered, inTime, late, rejected, rejectedLate int }
 
 func (t *tally) add(other *tally) {
 	t.offered += other.offered
 	t.inTime += other.inTime
 	t.late += other.late
-	t.refused += other.refused
-	t.held += other.held
+	t.rejected += other.rejected
+	t.rejectedLate += other.rejectedLate
 }
 
 type event struct {
 	at     time.Time
-	flow   *flow          // an arrival
-	ticket *Ticket[*flow] // the end of a run
+	flow   *flow          // set for an arrival
+	ticket *Ticket[*flow] // set for the end of a run
 }
 
 type events []event
@@ -126,7 +127,7 @@
 	return last
 }
 
-// simulate returns what became of flows by class.
+// simulate returns the outcomes of flows by class.
 func simulate(settings Settings, flows []flow, length time.Duration) map[Class]*tally {
 	byClass := map[Class]*tally{}
 	tallies := simulateFlows(settings, flows, length)
@@ -139,8 +140,8 @@
 	return byClass
 }
 
-// simulateFlows offers Poisson flows to a queue in virtual time. Runs have
-// exponential service times.
+// simulateFlows offers Poisson arrivals to a queue in virtual time, with exponentially
+// distributed run times.
 func simulateFlows(settings Settings, flows []flow, length time.Duration) map[*flow]*tally {
 	random := rand.New(rand.NewPCG(7, 7))
 	queue := New[*flow](settings)
@@ -158,9 +159,9 @@
 		case Granted:
 			heap.Push(&pending, event{at: now.Add(time.Duration(random.ExpFloat64() * float64(ticket.Waiter.service))), ticket: ticket})
 		case Refused:
-			tallies[ticket.Waiter].refused++
+			tallies[ticket.Waiter].rejected++
 			if !ticket.GiveUp.IsZero() {
-				tallies[ticket.Waiter].held++
+				tallies[ticket.Waiter].rejectedLate++
 			}
 		}
 	}
@@ -189,8 +190,8 @@
 	return tallies
 }
 
-// overload offers the multiple of what six slots can do in ten milliseconds a
-// run, 600 a second: a tenth of that internal, a quarter interactive, the rest
+// overload offers a multiple of the capacity of six slots at 10 ms a run, 600 requests per
+// second: 10 % of the capacity as internal and 25 % as interactive requests, the rest as
 // uploads and batch.
 func overload(multiple float64) []flow {
 	const capacity, run = 600.0, 10 * time.Millisecond
@@ -203,14 +204,14 @@
 	}
 }
 
-func TestOverloadKeepsHigherClasses(t *testing.T) {
+func TestHigherClassesMeetDeadlinesUnderOverload(t *testing.T) {
 	settings := Settings{Slots: 6, Length: 128, AgeAfter: DefaultAgeAfter, AgedEvery: DefaultAgedEvery}
 	total := map[float64]int{}
 	for _, multiple := range []float64{1, 2, 5} {
 		tallies := simulate(settings, overload(multiple), time.Minute)
 		for class := Internal; class < classes; class++ {
 			got := tallies[class]
-			t.Logf("load=%gx class=%d offered=%d in-time=%d late=%d refused=%d", multiple, class, got.offered, got.inTime, got.late, got.refused)
+			t.Logf("load=%gx class=%d offered=%d in-time=%d late=%d rejected=%d", multiple, class, got.offered, got.inTime, got.late, got.rejected)
 			total[multiple] += got.inTime
 			if class <= Interactive {
 				must.GreaterEq(t, got.offered*95/100, got.inTime)
@@ -223,8 +224,8 @@
 	must.GreaterEq(t, total[1]*90/100, total[5])
 }
 
-// A class outranks what is less urgent, running or waiting, and nothing else.
-func TestOutranks(t *testing.T) {
+// Only running or queued requests of a lower class count as outranked.
+func TestOnlyLowerClassesAreOutranked(t *testing.T) {
 	now := time.Unix(0, 0)
 	queue := New[int](Settings{Slots: 1, Length: 10})
 	must.False(t, queue.Outranks(Internal))
--- a/internal/traffic/admission/class.go
+++ b/internal/traffic/admission/class.go
@@ -8,11 +8,11 @@
 	"sliphead/internal/declaration"
 )
 
-// Class is a priority class, the lowest number first served. The classes of callers
-// without a tenant come first, as those of a tenant's priority of 0.
+// Class is a priority class; lower numbers are served first. Requests without a tenant use
+// the same classes as those of tenant priority 0.
 type Class int
 
-// The classes, in the order in which they are served, of requests without a tenant.
+// The classes of requests without a tenant, highest priority first.
 const (
 	Internal Class = iota
 	Interactive
@@ -22,14 +22,15 @@
 )
 
 const (
-	// ranks is the number of classes of one tenant's priority: routes' priorities beyond
-	// count as the last.
-	ranks = 16
-	// mostPriority bounds tenants' priorities: beyond, all count alike.
-	mostPriority = 1 << 20
+	// routeRanks is the number of classes for each tenant priority. Route priorities beyond
+	// it share the last class.
+	routeRanks = 16
+	// maxPriority is the highest tenant priority that is distinguished; larger ones are
+	// treated as equal to it.
+	maxPriority = 1 << 20
 )
 
-// ClassOf returns the class of a declared priority.
+// ClassOf returns the class of a declared priority; unknown priorities are Batch.
 func ClassOf(priority declaration.Priority) Class {
 	switch priority {
 	case declaration.PriorityInternal:
@@ -43,60 +44,59 @@
 	}
 }
 
-// ClassOfRank returns the class of priorities given as numbers, 0 the first: that of a
-// tenant comes before that of a route.
+// ClassOfRank returns the class of numeric priorities, 0 being the highest. The tenant's
+// priority takes precedence over the route's. Values out of range are clamped.
 func ClassOfRank(tenant, route int) Class {
-	return Class(min(max(tenant, 0), mostPriority))*ranks + min(max(Class(route), 0), ranks-1)
+	return Class(min(max(tenant, 0), maxPriority))*routeRanks + min(max(Class(route), 0), routeRanks-1)
 }
 
-// line holds the waiting requests of a class, in the order in which they are served:
-// see place.
-type line struct {
+// classQueue holds the queued requests of one class in serving order (see insertPosition).
+type classQueue struct {
 	class   Class
 	waiting *list.List // of *Ticket[W]
 }
 
-// baseLines are the lines of the classes without a tenant.
-func baseLines() []*line {
-	var lines []*line
+// newClassQueues returns empty queues for the classes of requests without a tenant.
+func newClassQueues() []*classQueue {
+	var queues []*classQueue
 	for class := Internal; class < classes; class++ {
-		lines = append(lines, &line{class, list.New()})
+		queues = append(queues, &classQueue{class, list.New()})
 	}
-	return lines
+	return queues
 }
 
-// mostLines bounds the lines that are kept: beyond, those in which nothing waits are
-// given up.
-const mostLines = 64
+// maxClassQueues is the number of class queues at which empty ones are removed before
+// another is added.
+const maxClassQueues = 64
 
-// lineOf returns the line of a class, a new one if there is none.
-func (q *Queue[W]) lineOf(class Class) *line {
-	byClass := func(held *line, class Class) int { return cmp.Compare(held.class, class) }
-	at, found := slices.BinarySearchFunc(q.lines, class, byClass)
+// classQueueOf returns the queue of a class and creates it if missing.
+func (q *Queue[W]) classQueueOf(class Class) *classQueue {
+	byClass := func(queue *classQueue, class Class) int { return cmp.Compare(queue.class, class) }
+	at, found := slices.BinarySearchFunc(q.classQueues, class, byClass)
 	if found {
-		return q.lines[at]
+		return q.classQueues[at]
 	}
-	if len(q.lines) >= mostLines {
-		q.lines = slices.DeleteFunc(q.lines, func(held *line) bool { return held.class >= classes && held.waiting.Len() == 0 })
-		at, _ = slices.BinarySearchFunc(q.lines, class, byClass)
+	if len(q.classQueues) >= maxClassQueues {
+		q.classQueues = slices.DeleteFunc(q.classQueues, func(queue *classQueue) bool { return queue.class >= classes && queue.waiting.Len() == 0 })
+		at, _ = slices.BinarySearchFunc(q.classQueues, class, byClass)
 	}
-	added := &line{class, list.New()}
-	q.lines = slices.Insert(q.lines, at, added)
+	added := &classQueue{class, list.New()}
+	q.classQueues = slices.Insert(q.classQueues, at, added)
 	return added
 }
 
-// reserve is the number of places in the queue that no other class may take: a quarter of
-// all, divided among the classes.
+// reserve is the number of queue places that each class has to itself: a quarter of the
+// queue, divided evenly among the classes.
 func (q *Queue[W]) reserve() int {
 	const share = 4
-	return q.settings.Length / (share * len(q.lines))
+	return q.settings.Length / (share * len(q.classQueues))
 }
 
-// hasRoom reports whether the class may take a place and leave the others
-// their reserves.
+// hasRoom reports whether the class may take a place without using the places reserved for
+// others.
 func (q *Queue[W]) hasRoom(class Class) bool {
 	taken := q.length
-	for _, other := range q.lines {
+	for _, other := range q.classQueues {
 		if other.class != class {
 			taken += max(0, q.reserve()-other.waiting.Len())
 		}
@@ -104,18 +104,19 @@
 	return taken < q.settings.Length
 }
 
-// givesWayTo returns the request that goes last of the lowest class below the given
-// request's that holds more than its reserve, or of its own class if that has a later start.
-func (q *Queue[W]) givesWayTo(ticket *Ticket[W]) *Ticket[W] {
-	for _, held := range slices.Backward(q.lines) {
-		if held.class < ticket.class {
+// evictionCandidate returns the request to evict for the given one, or nil. It is the last
+// request of the lowest class that exceeds its reserve, if that class is below the given
+// request's or, in the same class, if its virtual start is later.
+func (q *Queue[W]) evictionCandidate(ticket *Ticket[W]) *Ticket[W] {
+	for _, queue := range slices.Backward(q.classQueues) {
+		if queue.class < ticket.class {
 			return nil
 		}
-		if held.waiting.Len() <= q.reserve() {
+		if queue.waiting.Len() <= q.reserve() {
 			continue
 		}
-		last := held.waiting.Back().Value.(*Ticket[W])
-		if held.class > ticket.class || last.start > ticket.start {
+		last := queue.waiting.Back().Value.(*Ticket[W])
+		if queue.class > ticket.class || last.start > ticket.start {
 			return last
 		}
 	}
--- a/internal/traffic/admission/estimate.go
+++ b/internal/traffic/admission/estimate.go
@@ -2,107 +2,108 @@
 
 import "time"
 
-// estimate is a moving average of service times. It is forgotten when nothing
-// was observed for a while: else a class that is refused on a bad estimate
-// could never correct it.
+// estimate is an exponentially weighted moving average of run times. It expires when
+// nothing was observed for estimateExpiry; otherwise a class that is rejected because of a
+// bad estimate could never correct it.
 type estimate struct {
 	mean      time.Duration
-	deviation time.Duration // mean absolute one, as of RFC 6298
-	since     time.Time
+	deviation time.Duration // mean absolute deviation, as in RFC 6298
+	updated   time.Time
 }
 
 const (
-	estimateWeight = 16 // one observation counts one in so many
-	forgetAfter    = 5 * time.Second
+	estimateWeight = 16 // each observation has a weight of 1/estimateWeight
+	estimateExpiry = 5 * time.Second
 )
 
 func (e *estimate) add(observed time.Duration, now time.Time) {
-	if e.at(now) == 0 {
+	if e.meanAt(now) == 0 {
 		*e = estimate{mean: observed}
 	} else {
 		e.deviation += ((observed - e.mean).Abs() - e.deviation) / estimateWeight
 		e.mean += (observed - e.mean) / estimateWeight
 	}
-	e.since = now
+	e.updated = now
 }
 
-func (e *estimate) at(now time.Time) time.Duration {
-	if now.Sub(e.since) > forgetAfter {
+func (e *estimate) meanAt(now time.Time) time.Duration {
+	if now.Sub(e.updated) > estimateExpiry {
 		return 0
 	}
 	return e.mean
 }
 
-// maxKinds bounds the kinds whose times are remembered.
+// maxKinds bounds the number of run time estimates; when it is reached, all are discarded.
 const maxKinds = 512
 
-// timed is the kind under which times are remembered: those of a name are the same in all
+// estimateKey returns the key of the kind's estimate: named kinds share one estimate across
 // classes.
-func (k kind) timed() kind {
+func (k kind) estimateKey() kind {
 	if k.name != "" {
 		k.class = 0
 	}
 	return k
 }
 
-// learn takes in how long a request of a kind ran.
-func (q *Queue[W]) learn(of kind, ran time.Duration, now time.Time) {
-	of = of.timed()
-	held := q.service[of]
-	if held == nil {
-		if len(q.service) >= maxKinds {
-			clear(q.service)
+// observeRun records the run time of a request.
+func (q *Queue[W]) observeRun(of kind, ran time.Duration, now time.Time) {
+	of = of.estimateKey()
+	current := q.runEstimates[of]
+	if current == nil {
+		if len(q.runEstimates) >= maxKinds {
+			clear(q.runEstimates)
 		}
-		held = &estimate{}
-		q.service[of] = held
+		current = &estimate{}
+		q.runEstimates[of] = current
 	}
-	held.add(ran, now)
+	current.add(ran, now)
 }
 
-// run returns how long requests of a kind take, 0 when that is not known.
-func (q *Queue[W]) run(of kind, now time.Time) time.Duration {
-	if held := q.service[of.timed()]; held != nil {
-		return held.at(now)
+// expectedRun returns the mean run time of a kind, 0 if there is no estimate.
+func (q *Queue[W]) expectedRun(of kind, now time.Time) time.Duration {
+	if current := q.runEstimates[of.estimateKey()]; current != nil {
+		return current.meanAt(now)
 	}
 	return 0
 }
 
-// most returns how long most requests of a kind take at most.
-func (q *Queue[W]) most(of kind, now time.Time) time.Duration {
-	run := q.run(of, now)
+// conservativeRun returns the mean run time of a kind plus its mean deviation, 0 if there
+// is no estimate.
+func (q *Queue[W]) conservativeRun(of kind, now time.Time) time.Duration {
+	run := q.expectedRun(of, now)
 	if run == 0 {
 		return 0
 	}
-	return run + q.service[of.timed()].deviation
+	return run + q.runEstimates[of.estimateKey()].deviation
 }
 
-// end takes a request of a kind off those that run.
-func (q *Queue[W]) end(of kind) {
+// decrementBusy removes one request from the running requests of a kind.
+func (q *Queue[W]) decrementBusy(of kind) {
 	q.busy[of]--
 	if q.busy[of] == 0 {
 		delete(q.busy, of)
 	}
 }
 
-// Forecast returns the expected wait of a request of the class and kind that arrives now,
-// of a tenant that has not had more than others, and how long it is expected to run, 0
-// when that is not known.
+// Forecast returns the expected wait of a request of the class that arrives now, from a
+// tenant that has not exceeded its fair share, and the expected run time of its kind, 0 if
+// there is no estimate.
 func (q *Queue[W]) Forecast(class Class, name string, now time.Time) (wait, run time.Duration) {
 	if !q.Free(now) {
 		wait = q.predict(class, q.fair.virtual, now)
 	}
-	return wait, q.run(kind{class, name}, now)
+	return wait, q.expectedRun(kind{class, name}, now)
 }
 
-// predict returns the expected wait of a request of the class that arrives now.
+// predict returns the expected wait of a request that arrives now, by its class and virtual
+// start.
 func (q *Queue[W]) predict(class Class, start float64, now time.Time) time.Duration {
 	first := q.firstGrant(now)
-	_, queued := q.place(class, start, kind{}, first, now)
+	_, queued := q.insertPosition(class, start, kind{}, first, now)
 	return first + queued
 }
 
-// firstGrant is the expected time until the next grant: a slot is free then, and the limit
-// allows one.
+// firstGrant is the expected time until a slot is free and the rate limit allows a grant.
 func (q *Queue[W]) firstGrant(now time.Time) time.Duration {
 	if q.Limited(now) {
 		return q.rate.wait(now)
@@ -110,15 +111,15 @@
 	return max(q.firstEnd(now), q.rate.wait(now))
 }
 
-// firstEnd is the expected time until the first of the running requests ends, which are
-// taken to be evenly spread over their time.
+// firstEnd is the expected time until the first running request ends, assuming that the
+// ends of the runs are spread evenly.
 func (q *Queue[W]) firstEnd(now time.Time) time.Duration {
 	var running time.Duration
 	for of, count := range q.busy {
-		running += q.run(of, now) * time.Duration(count)
+		running += q.expectedRun(of, now) * time.Duration(count)
 	}
 	return running / time.Duration(max(1, q.running)) / (q.slots() + 1)
 }
 
-// slots is the number of slots to divide by.
+// slots returns the number of slots as a divisor: at least 1.
 func (q *Queue[W]) slots() time.Duration { return time.Duration(max(1, q.settings.Slots)) }
--- a/internal/traffic/admission/fair_test.go
+++ b/internal/traffic/admission/fair_test.go
@@ -10,9 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// tenantFlows are tenants of one priority, a few of them large, that together offer the
-// multiple of what twelve slots can do in 150 ms a run, 80 a second. Each offers its weight's part
-// of that, the flooding one times as much.
+// tenantFlows returns the flows of tenants of one priority, a few of them large, which
+// together offer a multiple of the capacity of twelve slots at 150 ms a run, 80 requests
+// per second. Each tenant offers a share in proportion to its weight; the flooding tenant
+// offers times as much.
 func tenantFlows(multiple float64, flooding int, times float64) []flow {
 	const capacity, run, objective = 80.0, 150 * time.Millisecond, 500 * time.Millisecond
 	weights := []float64{240, 140, 100, 80, 65, 58, 50, 46, 42, 39, 36, 34, 31, 30, 28, 27, 26, 24, 23, 22}
@@ -31,9 +32,10 @@
 	return flows
 }
 
-// served is what became of tenants: the share served in time of all, of the worst, of those
-// that don't flood and of the worst tenth of these, and the share held in vain.
-type served struct{ all, worst, others, tenth, held float64 }
+// served holds the share of requests served in time: of all tenants, of the worst tenant,
+// of those that don't flood, and of the worst tenth of these. rejectedLate is the share rejected
+// after queueing.
+type served struct{ all, worst, others, tenth, rejectedLate float64 }
 
 func serveTenants(multiple float64, flooding int, times float64, fair bool) served {
 	flows := tenantFlows(multiple, flooding, times)
@@ -60,14 +62,14 @@
 	of := func(count int, offered int) float64 { return float64(count) / float64(offered) }
 	return served{
 		all: of(all.inTime, all.offered), worst: worst, others: of(others.inTime, others.offered),
-		tenth: (shares[0] + shares[1]) / 2, held: of(all.held, all.offered),
+		tenth: (shares[0] + shares[1]) / 2, rejectedLate: of(all.rejectedLate, all.offered),
 	}
 }
 
-// No tenant is served much worse than all, in an overload that all cause and in one that a
-// single one causes; and what that one causes is not the others' loss. Requests that are let
-// in are served, though others pass them.
-func TestTenantsAreServedAlike(t *testing.T) {
+// No tenant is served much worse than the average when all tenants or a single one cause an
+// overload, and a flooding tenant takes nothing from the others. Requests that are admitted
+// are served in time although others overtake them.
+func TestTenantsAreServedFairlyUnderOverload(t *testing.T) {
 	const nobody = -1
 	for _, load := range []struct {
 		multiple float64
@@ -78,7 +80,7 @@
 		t.Logf("load=%gx flooding=%d times=%g fair=%.3f by-arrival=%.3f", load.multiple, load.flooding, load.times, fair, byArrival)
 		must.GreaterEq(t, fair.all-0.05, fair.tenth)
 		must.GreaterEq(t, fair.all/2, fair.worst)
-		must.LessEq(t, 0.002, fair.held)
+		must.LessEq(t, 0.002, fair.rejectedLate)
 		must.GreaterEq(t, byArrival.all-0.02, fair.all)
 		if load.flooding != nobody {
 			must.GreaterEq(t, byArrival.others+0.01, fair.others)
@@ -86,19 +88,19 @@
 	}
 }
 
-// Whatever the priorities of tenants and routes: what waits is served by the tenant's, then
-// by the route's, and among equals of one tenant as it came.
-func TestOrderOfAnyPriorities(t *testing.T) {
+// For random priorities, queued requests are granted by tenant priority, then route
+// priority, then order of arrival.
+func TestGrantOrderFollowsPriorities(t *testing.T) {
 	type request struct{ tenant, route, serial int }
 	rapid.Check(t, func(r *rapid.T) {
-		const most = 40
-		queue := New[request](Settings{Slots: 1, Length: 2 * most})
-		far := start.Add(time.Hour)
-		running, _ := queue.Take(Arrival[request]{Deadline: far}, start)
-		count := rapid.IntRange(1, most).Draw(r, "count")
+		const maxCount = 40
+		queue := New[request](Settings{Slots: 1, Length: 2 * maxCount})
+		deadline := start.Add(time.Hour)
+		running, _ := queue.Take(Arrival[request]{Deadline: deadline}, start)
+		count := rapid.IntRange(1, maxCount).Draw(r, "count")
 		for serial := range count {
-			asked := request{rapid.IntRange(0, 9).Draw(r, "tenant"), rapid.IntRange(0, 9).Draw(r, "route"), serial}
-			arrival := Arrival[request]{Class: ClassOfRank(asked.tenant, asked.route), Tenant: fmt.Sprint(asked.tenant), Weight: 1, Deadline: far, Waiter: asked}
+			sent := request{rapid.IntRange(0, 9).Draw(r, "tenant"), rapid.IntRange(0, 9).Draw(r, "route"), serial}
+			arrival := Arrival[request]{Class: ClassOfRank(sent.tenant, sent.route), Tenant: fmt.Sprint(sent.tenant), Weight: 1, Deadline: deadline, Waiter: sent}
 			ticket, decided := queue.Take(arrival, start)
 			must.Eq(r, Queued, ticket.Verdict)
 			must.SliceEmpty(r, decided)
@@ -116,31 +118,31 @@
 	})
 }
 
-// With any priorities the queue stays within its length, gives up the lowest first, and
-// never one for another of its own class or a lower one.
-func TestRoomOfAnyPriorities(t *testing.T) {
+// For random priorities, the queue stays within its length and evicts only requests of a
+// lower class than the arriving one.
+func TestQueueBoundAndEvictionOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		length := rapid.IntRange(0, 40).Draw(r, "length")
 		queue := New[Class](Settings{Slots: 1, Length: length})
-		far := start.Add(time.Hour)
-		queue.Take(Arrival[Class]{Deadline: far}, start)
+		deadline := start.Add(time.Hour)
+		queue.Take(Arrival[Class]{Deadline: deadline}, start)
 		for range rapid.IntRange(1, 200).Draw(r, "count") {
 			class := ClassOfRank(rapid.IntRange(-1, 30).Draw(r, "tenant"), rapid.IntRange(-1, 30).Draw(r, "route"))
-			_, decided := queue.Take(Arrival[Class]{Class: class, Deadline: far, Waiter: class}, start)
+			_, decided := queue.Take(Arrival[Class]{Class: class, Deadline: deadline, Waiter: class}, start)
 			for _, gaveWay := range decided {
 				must.Eq(r, Refused, gaveWay.Verdict)
 				must.Greater(r, class, gaveWay.Waiter)
 			}
 			must.LessEq(r, length, queue.Waiting())
-			must.LessEq(r, mostLines+length, len(queue.lines))
+			must.LessEq(r, maxClassQueues+length, len(queue.classQueues))
 		}
 		must.Len(r, queue.Waiting(), queue.Clear(start))
 		must.Zero(r, queue.Waiting())
 	})
 }
 
-// Tenants of a lower priority are served in the end, though those of a higher one ask for
-// more than there is.
+// Tenants of lower priority are still served when those of a higher one offer more than the
+// capacity.
 func TestNoPriorityStarves(t *testing.T) {
 	flows := []flow{
 		{class: ClassOfRank(0, 1), perSec: 500, service: 10 * time.Millisecond, deadline: 5 * time.Second, tenant: "first", weight: 1},
@@ -154,15 +156,15 @@
 	}
 	for index := range flows {
 		got := tallies[&flows[index]]
-		t.Logf("class=%d offered=%d in-time=%d refused=%d held=%d", flows[index].class, got.offered, got.inTime, got.refused, got.held)
+		t.Logf("class=%d offered=%d in-time=%d rejected=%d rejected-late=%d", flows[index].class, got.offered, got.inTime, got.rejected, got.rejectedLate)
 		must.GreaterEq(t, total/100, got.inTime)
 	}
 }
 
-// At their last try, too, more urgent callers go first, as long as nobody who was let in
-// then waits in vain.
-func TestLateLineByPriority(t *testing.T) {
-	queue, held := lateQueue()
+// In the late queue, higher classes are served first as long as every admitted request
+// still meets its late deadline.
+func TestLateQueueOrdersByPriority(t *testing.T) {
+	queue, running := newBusyQueue()
 	due := start.Add(10 * time.Millisecond)
 	take := func(tenant int, last time.Duration) *Ticket[string] {
 		ticket, _ := queue.Take(Arrival[string]{Class: ClassOfRank(tenant, 1), Deadline: due, Last: start.Add(last), Waiter: fmt.Sprint(tenant)}, start)
@@ -170,20 +172,20 @@
 	}
 	must.Eq(t, Queued, take(2, 10*time.Second).Verdict)
 	must.Eq(t, Queued, take(1, 10*time.Second).Verdict)
-	must.Eq(t, Queued, take(2, 700*time.Millisecond).Verdict) // has no time for one more before it
+	must.Eq(t, Queued, take(2, 700*time.Millisecond).Verdict) // cannot be overtaken and still meet its deadline
 	must.Eq(t, Queued, take(0, 10*time.Second).Verdict)
 	var order []string
-	for _, each := range held {
+	for _, each := range running {
 		order = append(order, queue.Done(each, start.Add(100*time.Millisecond))[0].Waiter)
 	}
 	must.Eq(t, []string{"1", "2", "2", "0"}, order)
 }
 
-// Tenants whose requests have finished are forgotten, and no number of them takes memory
-// without bound.
-func TestTenantsAreBounded(t *testing.T) {
+// Tenants whose requests have finished are evicted, so that memory stays bounded for any
+// number of tenants.
+func TestTrackedTenantsAreBounded(t *testing.T) {
 	fair := newFairness()
-	for index := range 3 * mostTenants {
+	for index := range 3 * maxTenants {
 		name := fmt.Sprint(index)
 		at := fair.start(name)
 		fair.accept(name, 1, at)
@@ -191,16 +193,16 @@
 			fair.granted(at + 1)
 		}
 	}
-	must.LessEq(t, mostTenants, len(fair.finish))
+	must.LessEq(t, maxTenants, len(fair.finish))
 }
 
-// A full queue takes in whom others of the class have kept out by what they sent, and gives
-// the last of theirs up.
-func TestFullQueueIsSharedAmongTenants(t *testing.T) {
+// When tenants of the same class have filled the queue, a request of a tenant below its
+// share evicts the last request of one above it.
+func TestFullQueueEvictsTenantAboveItsShare(t *testing.T) {
 	queue := New[string](Settings{Slots: 1, Length: 4})
-	far := start.Add(time.Hour)
+	deadline := start.Add(time.Hour)
 	take := func(tenant string) (*Ticket[string], []*Ticket[string]) {
-		return queue.Take(Arrival[string]{Class: ClassOfRank(1, 2), Tenant: tenant, Weight: 1, Deadline: far, Waiter: tenant}, start)
+		return queue.Take(Arrival[string]{Class: ClassOfRank(1, 2), Tenant: tenant, Weight: 1, Deadline: deadline, Waiter: tenant}, start)
 	}
 	for range 5 {
 		take("large")
--- a/internal/traffic/admission/late_test.go
+++ b/internal/traffic/admission/late_test.go
@@ -7,40 +7,41 @@
 	"github.com/shoenig/test/must"
 )
 
-// lateQueue is a worker of four slots that are held, with runs of 100 ms known.
-func lateQueue() (*Queue[string], []*Ticket[string]) {
+// newBusyQueue returns a queue whose four slots are taken and whose estimated run time is
+// 100 ms.
+func newBusyQueue() (*Queue[string], []*Ticket[string]) {
 	queue := New[string](Settings{Slots: 4, Length: 128})
-	var held []*Ticket[string]
+	var running []*Ticket[string]
 	for range 4 {
 		known, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: start.Add(time.Hour)}, start.Add(-100*time.Millisecond))
 		queue.Done(known, start)
 	}
 	for range 4 {
 		ticket, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: start.Add(time.Hour)}, start)
-		held = append(held, ticket)
+		running = append(running, ticket)
 	}
-	return queue, held
+	return queue, running
 }
 
-// What can still be answered in time goes before what can't.
-func TestLateLineIsServedFromTheGaps(t *testing.T) {
-	queue, held := lateQueue()
+// A request that can meet its deadline is granted before one of the late queue.
+func TestOnTimeRequestIsGrantedBeforeLateQueue(t *testing.T) {
+	queue, running := newBusyQueue()
 	late, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: start.Add(10 * time.Millisecond), Last: start.Add(time.Second), Waiter: "late"}, start)
 	must.Eq(t, Queued, late.Verdict)
 	fresh, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: start.Add(400 * time.Millisecond), Waiter: "fresh"}, start)
 	must.Eq(t, Queued, fresh.Verdict)
 	now := start.Add(100 * time.Millisecond)
-	must.Eq(t, "fresh", queue.Done(held[0], now)[0].Waiter)
-	must.Eq(t, "late", queue.Done(held[1], now)[0].Waiter)
+	must.Eq(t, "fresh", queue.Done(running[0], now)[0].Waiter)
+	must.Eq(t, "late", queue.Done(running[1], now)[0].Waiter)
 }
 
-// Without a last moment, what can't be answered in time is refused at once; and so is
-// whoever would get no slot of the line early enough.
-func TestLateLineTakesOnlyWhomItServes(t *testing.T) {
-	queue, _ := lateQueue()
+// A request that cannot meet its deadline is rejected on arrival if it has no late
+// deadline, or if the late queue would grant it too late.
+func TestLateQueueRejectsRequestsItCannotServe(t *testing.T) {
+	queue, _ := newBusyQueue()
 	tooLate := start.Add(10 * time.Millisecond)
-	refused, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: tooLate}, start)
-	must.Eq(t, Refused, refused.Verdict)
+	rejected, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: tooLate}, start)
+	must.Eq(t, Refused, rejected.Verdict)
 	taken := 0
 	for range 20 {
 		ticket, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: tooLate, Last: start.Add(800 * time.Millisecond)}, start)
@@ -48,12 +49,12 @@
 			taken++
 		}
 	}
-	must.Between(t, 1, taken, 3) // 800 ms less a run, by one grant in ten of each 25 ms
+	must.Between(t, 1, taken, 3) // within 800 ms less a run: a grant each 25 ms, one in ten of them late
 }
 
-// In a lasting overload most answers are in time, a share of the grants goes to those at
-// their last try, and whoever was let in is served.
-func TestLastingOverloadServesBoth(t *testing.T) {
+// In a sustained overload most responses are in time, the late queue gets its share of the
+// grants, and every admitted request is served.
+func TestSustainedOverloadServesOnTimeAndLateRequests(t *testing.T) {
 	const (
 		slots, run, step = 12, 100 * time.Millisecond, time.Millisecond
 		objective, last  = 400 * time.Millisecond, 800 * time.Millisecond
@@ -81,7 +82,7 @@
 		if passed%(6*time.Millisecond) == 0 { // 167 a second, of which the slots serve 120
 			arrivals++
 			arrival := Arrival[int]{Class: Batch, Deadline: now.Add(objective)}
-			if arrivals%3 == 0 { // its time for an answer in time is spent
+			if arrivals%3 == 0 { // cannot meet its deadline
 				arrival.Deadline, arrival.Last = now.Add(run), now.Add(last)
 			}
 			ticket, _ := queue.Take(arrival, now)
--- a/internal/traffic/admission/link.go
+++ b/internal/traffic/admission/link.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Link books the transfers of long request bodies into a node, one behind the other
-// at the speed of its network link. What is asked for beyond that would only wait in
-// the link's queue, and with it everything else that comes by that link: short
-// requests, answers and the store's news. It is a clock and counts no bytes that
-// come: a sender that is slow holds nobody up.
+// Link schedules the transfers of long request bodies into a node one after the other, at
+// the speed of its network link. Bodies requested beyond that rate would queue in the link
+// and delay everything else on it: short requests, responses and the store's updates. Link
+// computes with time only and does not count received bytes, so a slow sender delays
+// nobody. It is not safe for concurrent use.
 type Link struct {
 	bytesPerSecond float64
-	free           time.Time // when all that is booked will have come
+	free           time.Time // when all scheduled transfers will have completed
 }
 
-// linkShare is the part of the link that is given to long bodies. The rest is left
-// to what can't be booked.
+// linkShare is the share of the link that long bodies may use. The rest is left to traffic
+// that is not scheduled.
 const linkShare = 0.85
 
-// linkAhead is how long the link may be booked ahead of a transfer that begins: as
-// long as it takes to ask for a body across zones, so that the link does not idle.
+// linkAhead is how far ahead of its transfer a body may be requested: the time that the
+// request for a body takes across zones, so that the link does not idle.
 const linkAhead = 30 * time.Millisecond
 
-// NewLink returns the link of a machine that carries so many megabits a second; 0
-// when that is not known, and then nothing waits.
+// NewLink returns the schedule of a machine's link, by its speed in megabits per second; 0
+// means unknown, and then nothing is delayed.
 func NewLink(megabits float64) Link {
 	const bytesPerMegabit = 1e6 / 8
 	return Link{bytesPerSecond: megabits * bytesPerMegabit * linkShare}
 }
 
-// Wait returns how long a body that is to come now would wait before it is asked for.
+// Wait returns how long a body would have to wait now before it is requested.
 func (l *Link) Wait(now time.Time) time.Duration {
 	return max(0, l.free.Add(-linkAhead).Sub(now))
 }
 
-// Transfer returns how long a body takes on the link.
+// Transfer returns the transfer time of a body, 0 if the speed is unknown.
 func (l *Link) Transfer(bytes int64) time.Duration {
 	if l.bytesPerSecond <= 0 {
 		return 0
@@ -40,7 +40,8 @@
 	return time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second))
 }
 
-// Book takes the next transfer in and returns how long it is to wait.
+// Book schedules the next transfer and returns how long to wait before the body is
+// requested.
 func (l *Link) Book(bytes int64, now time.Time) time.Duration {
 	wait := l.Wait(now)
 	if l.free.Before(now) {
@@ -50,5 +51,5 @@
 	return wait
 }
 
-// Return gives the time of a booked body back that was not asked for.
+// Return releases the scheduled time of a body that was not requested.
 func (l *Link) Return(bytes int64) { l.free = l.free.Add(-l.Transfer(bytes)) }
--- a/internal/traffic/admission/link_test.go
+++ b/internal/traffic/admission/link_test.go
@@ -9,8 +9,8 @@
 
 const bodyLength = 60_000
 
-// Whatever bound callers put on the wait, the link carries what it can.
-func TestLinkCarriesWhatItCan(t *testing.T) {
+// The link is used to its capacity, whatever bound callers put on the wait.
+func TestLinkCapacityIsUsed(t *testing.T) {
 	for _, wait := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, time.Second} {
 		link := NewLink(10)
 		now := time.Unix(1000, 0)
--- a/internal/traffic/admission/rate_test.go
+++ b/internal/traffic/admission/rate_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// limitedWorker plays a worker behind a queue in virtual time.
+// limitedWorker simulates a worker behind a queue in virtual time.
 type limitedWorker struct {
-	queue   *Queue[int]
-	now     time.Time
-	ends    ends
-	granted []time.Time
-	served  map[Class]int
-	refused int
-	run     time.Duration
+	queue    *Queue[int]
+	now      time.Time
+	ends     ends
+	granted  []time.Time
+	served   map[Class]int
+	rejected int
+	run      time.Duration
 }
 
 func newLimitedWorker(slots int, run time.Duration) *limitedWorker {
@@ -29,7 +29,6 @@
 	}
 }
 
-// runEnd is when a run ends.
 type runEnd struct {
 	at     time.Time
 	ticket *Ticket[int]
@@ -47,15 +46,16 @@
 	return last
 }
 
-// advance lets time pass: runs end and turns come.
+// advance moves the time forward: it ends runs and fills the queue when the rate limit
+// allows.
 func (w *limitedWorker) advance(to time.Time) {
 	for {
 		next := to
 		if len(w.ends) > 0 && w.ends[0].at.Before(next) {
 			next = w.ends[0].at
 		}
-		turn := w.queue.NextTurn(w.now)
-		if at := w.now.Add(turn); turn > 0 && at.Before(next) {
+		wait := w.queue.NextTurn(w.now)
+		if at := w.now.Add(wait); wait > 0 && at.Before(next) {
 			next = at
 		}
 		w.now = next
@@ -72,7 +72,7 @@
 func (w *limitedWorker) decide(tickets []*Ticket[int]) {
 	for _, ticket := range tickets {
 		if ticket.Verdict == Refused {
-			w.refused++
+			w.rejected++
 			continue
 		}
 		w.granted = append(w.granted, w.now)
@@ -89,8 +89,8 @@
 	w.decide(decided)
 }
 
-// mostWithin returns the most grants that any stretch of time holds.
-func mostWithin(granted []time.Time, stretch time.Duration) int {
+// maxWithin returns the largest number of grants in any interval of the given length.
+func maxWithin(granted []time.Time, stretch time.Duration) int {
 	largest, first := 0, 0
 	for index, at := range granted {
 		for at.Sub(granted[first]) > stretch {
@@ -101,9 +101,9 @@
 	return largest
 }
 
-// Whatever comes, a worker that takes so many requests a second gets no more than 4.5 times
-// that in any 4 s, and one more; a worker that takes none is tried once in four seconds.
-func TestLimitHoldsInEachWindow(t *testing.T) {
+// In any 4 s a worker gets at most 4.5 times its advertised rate per second, plus one
+// request. A worker that advertises 0 gets one request in 4 s.
+func TestGrantsStayWithinRateLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.SampledFrom([]float64{0, 0.1, 0.3, 1, 2.5, 6.7, 20.3, 300}).Draw(t, "limit")
 		run := time.Duration(rapid.IntRange(1, 400).Draw(t, "run")) * time.Millisecond
@@ -121,21 +121,21 @@
 			worker.arrive(Interactive, time.Second)
 			wait := gap
 			if pause > 0 && worker.now.After(start.Add(6*time.Second)) {
-				wait, pause = pause, 0 // the node is suspended and wakes up late
+				wait, pause = pause, 0 // the node is suspended and resumes late
 			}
 			worker.advance(worker.now.Add(wait))
 		}
 		window := 4 * time.Second
-		bound := 1 + int(math.Ceil(max(limit, leastRate)*(window+burstTime).Seconds()))
-		if most := mostWithin(worker.granted, window); most > bound {
-			t.Fatalf("%d grants in 4 s under a limit of %v, more than %d", most, limit, bound)
+		bound := 1 + int(math.Ceil(max(limit, minRate)*(window+burstTime).Seconds()))
+		if largest := maxWithin(worker.granted, window); largest > bound {
+			t.Fatalf("%d grants in 4 s under a limit of %v, more than %d", largest, limit, bound)
 		}
 	})
 }
 
-// What the worker allows is made use of, and the most urgent get it: requests wait for a turn
-// that comes in time.
-func TestLimitIsUsed(t *testing.T) {
+// The advertised rate is used almost fully and goes to urgent requests first: requests are
+// queued while the limiter will grant them in time.
+func TestRateLimitIsUsedAndFavoursUrgentRequests(t *testing.T) {
 	for limit, share := range map[float64]float64{2: 0.55, 6.7: 0.78, 20.3: 0.9, 60: 0.97} {
 		random := rand.New(rand.NewPCG(1, uint64(limit)))
 		worker := newLimitedWorker(6, 60*time.Millisecond)
@@ -157,23 +157,23 @@
 	}
 }
 
-// When the limit is first named, or lowered, what would wait too long for its turn is refused
-// at once, and the rest in order of its turns.
-func TestNamedLimitShedsTheQueue(t *testing.T) {
+// When a rate limit is set, queued requests that would be granted too late are rejected at
+// once, and the others are granted at that rate.
+func TestNewRateLimitShedsQueue(t *testing.T) {
 	worker := newLimitedWorker(1, 50*time.Millisecond)
 	for range 10 {
 		worker.arrive(Interactive, 5*time.Second)
 	}
 	must.Eq(t, 9, worker.queue.Waiting())
 	worker.decide(worker.queue.Limit(1, worker.now))
-	must.Eq(t, 5, worker.refused) // the first turn comes after a second, the fifth at the deadline
+	must.Eq(t, 5, worker.rejected) // the first grant comes after a second, the fifth at the deadline
 	worker.advance(start.Add(6 * time.Second))
 	must.Eq(t, 5, len(worker.granted))
 	must.Eq(t, 0, worker.queue.Waiting())
 }
 
-// Once the worker names no limit any more, what waits is granted as slots free.
-func TestUnlimit(t *testing.T) {
+// When the rate limit is removed, queued requests are granted as slots are free.
+func TestRemovedRateLimitGrantsQueuedRequests(t *testing.T) {
 	worker := newLimitedWorker(6, 50*time.Millisecond)
 	worker.decide(worker.queue.Limit(0.5, worker.now))
 	for range 3 {
--- a/internal/traffic/admission/rejects.go
+++ b/internal/traffic/admission/rejects.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// Rejects measures which share of the requests that reach the worker it rejects. It is
-// pure: the caller passes the time.
+// Rejects measures the share of requests that a worker rejects, over an exponentially
+// decaying window. The caller passes the time. It is not safe for concurrent use.
 type Rejects struct {
-	taken, rejected float64 // in the last rejectsMemory, older ones fading
-	at              time.Time
+	accepted, rejected float64 // exponentially decayed counts
+	updated            time.Time
 }
 
 const (
-	// rejectsMemory is over which time a request counts a third: a worker of six slots and
-	// runs of 50 ms sees a hundred in it.
-	rejectsMemory = time.Second
+	// rejectsDecay is the time constant of the decay: after it, a request counts 1/e. A
+	// worker with 6 slots and runs of 50 ms gets about 100 requests in it.
+	rejectsDecay = time.Second
 
-	// rejectsPrior is how many taken requests are assumed: one rejection among none tells
-	// of a quarter, not of all.
+	// rejectsPrior is a number of accepted requests that is always assumed, so that a
+	// single rejection without other requests gives a share of 0.25 instead of 1.
 	rejectsPrior = 3
 
-	// leastRejects is the share from which it is told: less is what workers do now and then.
-	leastRejects = 0.05
+	// minRejectShare is the smallest share that is reported; workers reject less than that
+	// in normal operation.
+	minRejectShare = 0.05
 )
 
-// Note takes in whether the worker rejected a request.
+// Note records a request and whether the worker rejected it.
 func (r *Rejects) Note(rejected bool, now time.Time) {
-	r.fade(now)
+	r.decay(now)
 	if rejected {
 		r.rejected++
 		return
 	}
-	r.taken++
+	r.accepted++
 }
 
-// Share returns the share that the worker rejects, 0 where it is too small to tell.
+// Share returns the share of rejected requests, 0 to 1; shares below minRejectShare are
+// returned as 0.
 func (r *Rejects) Share(now time.Time) float64 {
 	if r.rejected == 0 {
 		return 0
 	}
-	r.fade(now)
-	share := r.rejected / (r.rejected + r.taken + rejectsPrior)
-	if share < leastRejects {
+	r.decay(now)
+	share := r.rejected / (r.rejected + r.accepted + rejectsPrior)
+	if share < minRejectShare {
 		return 0
 	}
 	return share
 }
 
-func (r *Rejects) fade(now time.Time) {
-	part := math.Exp(-float64(now.Sub(r.at)) / float64(rejectsMemory))
-	r.taken *= part
+func (r *Rejects) decay(now time.Time) {
+	part := math.Exp(-float64(now.Sub(r.updated)) / float64(rejectsDecay))
+	r.accepted *= part
 	r.rejected *= part
-	r.at = now
+	r.updated = now
 }
--- a/internal/traffic/admission/rejects_test.go
+++ b/internal/traffic/admission/rejects_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A worker that rejects half is told of soon, and no more soon after it has stopped.
-func TestShareOfRejections(t *testing.T) {
+// The share rises soon after a worker begins to reject half of its requests and returns to
+// 0 soon after it has stopped.
+func TestRejectShareFollowsRecentRejections(t *testing.T) {
 	var rejects Rejects
 	now := time.Unix(1_000_000, 0)
 	run := func(requests int, rejected func(int) bool) float64 {
@@ -27,8 +28,8 @@
 	must.Zero(t, run(300, none))
 }
 
-// One rejection tells of a quarter, not of all.
-func TestOneRejectionIsNoProof(t *testing.T) {
+// Because of the prior, a single rejection gives a share of 0.25, not 1.
+func TestSingleRejectionIsWeightedByPrior(t *testing.T) {
 	var rejects Rejects
 	now := time.Unix(1_000_000, 0)
 	rejects.Note(true, now)
--- a/internal/traffic/admission/wait_test.go
+++ b/internal/traffic/admission/wait_test.go
@@ -8,24 +8,25 @@
 	"github.com/shoenig/test/must"
 )
 
-// In a steady overload a queue as long as the objective allows answers everybody about
-// then, half of them too late. A shorter one serves as many, and nearly all in time.
-func TestOverloadIsServedInTime(t *testing.T) {
+// In a steady overload, a queue as long as the deadline allows delays every request to
+// about the deadline, and half of them miss it. A shorter queue serves as many, nearly all
+// in time.
+func TestBoundedQueueServesOverloadInTime(t *testing.T) {
 	queue := New[time.Time](Settings{Slots: 12, Length: 128})
 	const (
 		objective = 400 * time.Millisecond
 		apart     = 5 * time.Millisecond // 200 a second, of which 12 slots serve 60 to 120
 		step      = time.Millisecond
 	)
-	type held struct {
+	type activeRun struct {
 		ticket *Ticket[time.Time]
 		ends   time.Time
 	}
-	var running []held
+	var running []activeRun
 	served, late, granted := 0, 0, 0
 	for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(step) {
 		var decided []*Ticket[time.Time]
-		running = slices.DeleteFunc(running, func(run held) bool {
+		running = slices.DeleteFunc(running, func(run activeRun) bool {
 			if now.Before(run.ends) {
 				return false
 			}
@@ -43,7 +44,7 @@
 		for _, ticket := range decided {
 			if ticket.Verdict == Granted {
 				granted++
-				running = append(running, held{ticket, now.Add(time.Duration(100+37*granted%100) * time.Millisecond)})
+				running = append(running, activeRun{ticket, now.Add(time.Duration(100+37*granted%100) * time.Millisecond)})
 			}
 		}
 	}
