--- a/internal/traffic/balance/balance.go
+++ b/internal/traffic/balance/balance.go
@@ -1,11 +1,11 @@
-// Package balance chooses an endpoint for a request: own zone first, then the
-// region, then the rest; within these by power of two choices (Mitzenmacher,
-// "The Power of Two Choices in Randomized Load Balancing", 2001). It is pure:
-// the caller passes the time and a seeded source of randomness.
+// Package balance chooses an endpoint for a request. Pick prefers the own zone, then the
+// region, then all other endpoints, and uses the power of two choices within these
+// (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001). Cheapest
+// compares the expected cost of all endpoints. The package is pure: the caller passes the
+// time and a seeded source of randomness.
 //
-// Reported load is a hint that lags and misleads. What this node has seen for
-// itself weighs more: its own requests in flight, its answers' times and its
-// failures.
+// Reported load is delayed and may be wrong. What this node has observed itself weighs
+// more: its own requests in flight, response times and failures.
 package balance
 
 import (
@@ -18,107 +18,106 @@
 	"sliphead/internal/traffic/closing"
 )
 
-// Settings tune the choice.
+// Settings configure a Balancer.
 type Settings struct {
-	Zone, Region string        // of this node
-	LinkMbps     float64       // what its machine's link carries; 0: not known
-	RegionBytes  float64       // price of a byte that leaves the region, in parts of one that leaves the zone; 0: once
-	SlowStart    time.Duration // over which a cold worker is brought to its full share
-	BackoffFirst time.Duration // after the first failure in a row, doubled with each more
-	BackoffMost  time.Duration
-	ReportLife   time.Duration // how long a load report counts
-	Forget       time.Duration // endpoints not used for this long are forgotten
+	Zone, Region   string        // of this node
+	LinkMbps       float64       // capacity of the machine's link in Mbit/s; 0: unknown
+	RegionBytes    float64       // price of a byte that leaves the region, relative to one that leaves only the zone; below 1 counts as 1
+	SlowStart      time.Duration // time over which the share of a cold worker rises to its full value
+	BackoffFirst   time.Duration // backoff after the first failure in a row, doubled with each further one
+	BackoffMax     time.Duration // maximum backoff
+	ReportExpiry   time.Duration // time after which a load report is ignored
+	EndpointExpiry time.Duration // time after which the state of an unused endpoint is evicted
 }
 
 // DefaultSettings returns the settings of a node in the given zone.
 func DefaultSettings(zone, region string) Settings {
 	return Settings{
 		Zone: zone, Region: region,
-		SlowStart:    10 * time.Second,
-		BackoffFirst: 200 * time.Millisecond,
-		BackoffMost:  10 * time.Second,
-		ReportLife:   time.Second,
-		Forget:       10 * time.Minute,
+		SlowStart:      10 * time.Second,
+		BackoffFirst:   200 * time.Millisecond,
+		BackoffMax:     10 * time.Second,
+		ReportExpiry:   time.Second,
+		EndpointExpiry: 10 * time.Minute,
 	}
 }
 
-// Load is what a worker's node told about it. Wait and Run are what a request
-// like the one that was answered has to expect there; 0: not told.
+// Load is what a worker's node reports about the worker. Wait and Run are estimates for
+// requests like the one that the report came with; 0: unknown.
 type Load struct {
 	Busy, Slots, Queued int
 	Wait, Run           time.Duration
-	Link                time.Duration // for which a body waits before it is asked for
-	Closed              time.Duration // for which the worker is sent no more such requests from here
-	Rejects             float64       // share of what reaches the worker that it rejects, 0 to 1
+	Link                time.Duration // wait before the node requests a body, because its link is busy
+	Closed              time.Duration // time for which this node must not send such requests to the worker
+	Rejects             float64       // share of the requests reaching the worker that it rejects, 0 to 1
 }
 
-// Observation is what came of one request.
+// Observation is the outcome of one request.
 type Observation struct {
 	Failed bool
-	// Unreachable says that the endpoint's node itself gave no sign of life.
+	// Unreachable is set if the endpoint's node itself did not respond.
 	Unreachable bool
-	// Refused says that the endpoint's node had no room for the request.
+	// Refused is set if the endpoint's node rejected the request for lack of capacity.
 	Refused   bool
-	Latency   time.Duration // 0: not to be counted
-	Kilobytes float64       // of the answer, its header included; 0: not to be counted
+	Latency   time.Duration // 0: not recorded
+	Kilobytes float64       // size of the response with its header; 0: not recorded
 	Load      Load
-	Loaded    bool            // whether Load was told
+	Loaded    bool            // whether Load was reported
 	Urgency   closing.Urgency // of the request
-	RoundTrip time.Duration   // of a message to its node and the answer, as far as this request shows; 0: not seen
+	RoundTrip time.Duration   // of a message to the endpoint's node and the reply, as observed with this request; 0: not observed
 }
 
-// Balancer chooses among endpoints. It is not safe for use by several
-// goroutines at once.
+// Balancer chooses among endpoints. It is not safe for concurrent use.
 type Balancer struct {
-	settings  Settings
-	random    *rand.Rand
-	endpoints map[Key]*state
-	usable    [tiers][]int             // scratch of choose
-	typical   map[string]time.Duration // answer time by route, over all endpoints
-	sizes     map[string]float64       // kilobytes of an answer by route
-	rooms     map[roomKey]room         // of other zones
-	distances map[place]distance       // of other zones
-	reaches   map[string]reach         // of other regions
-	pruned    time.Time
-}
-
-// state is what this node has seen of an endpoint.
-type state struct {
+	settings         Settings
+	random           *rand.Rand
+	endpoints        map[Key]*endpointState
+	usable           [tiers][]int                 // indices of usable endpoints by tier, reused by choose
+	typicalLatency   map[string]time.Duration     // typical response time by route, over all endpoints
+	typicalKilobytes map[string]float64           // typical kilobytes of a response by route
+	acceptances      map[acceptanceKey]acceptance // of other zones
+	distances        map[locality]distance        // of other zones
+	regions          map[string]regionState       // of other regions, by region
+	pruned           time.Time
+}
+
+// endpointState is what this node has observed of an endpoint.
+type endpointState struct {
 	inFlight     int
 	failures     int  // in a row
-	unreachable  bool // whether the last one was the node's
+	unreachable  bool // whether at the last failure the node did not respond
 	backoffUntil time.Time
-	slowness     float64 // answer times relative to the route's typical one
+	slowness     float64 // response times relative to the route's typical one
 	observed     time.Time
 	load         Load
 	loadAt       time.Time
 	forecasts    map[string]forecast          // by route
-	closedUntil  [closing.Urgencies]time.Time // by urgency: the endpoint has told to stay away until then
+	pausedUntil  [closing.Urgencies]time.Time // by urgency: the endpoint takes no such requests until then
 	used         time.Time
 }
 
-// New returns a balancer that knows nothing yet.
+// New returns a balancer without observations.
 func New(settings Settings, random *rand.Rand) *Balancer {
-	return &Balancer{settings: settings, random: random, endpoints: map[Key]*state{}, typical: map[string]time.Duration{}, sizes: map[string]float64{}, rooms: map[roomKey]room{}, distances: map[place]distance{}, reaches: map[string]reach{}}
+	return &Balancer{settings: settings, random: random, endpoints: map[Key]*endpointState{}, typicalLatency: map[string]time.Duration{}, typicalKilobytes: map[string]float64{}, acceptances: map[acceptanceKey]acceptance{}, distances: map[locality]distance{}, regions: map[string]regionState{}}
 }
 
-// Pick returns the index of the endpoint for a request and counts it as in
-// flight there until Ended. Tried indices are passed over. It returns -1 when
-// all were tried.
+// Pick returns the index of the endpoint for a request and counts the request as in flight
+// there until Ended. Indices in tried are skipped. It returns -1 if all endpoints were
+// tried.
 func (b *Balancer) Pick(now time.Time, endpoints []snapshot.Endpoint, tried []int) int {
 	chosen := b.choose(now, endpoints, tried)
 	if chosen < 0 {
 		return -1
 	}
-	held := b.stateOf(endpoints[chosen], now)
-	held.inFlight++
-	held.used = now
+	state := b.stateOf(endpoints[chosen], now)
+	state.inFlight++
+	state.used = now
 	b.prune(now)
 	return chosen
 }
 
-// Another reports whether, as far as known at the last Pick, an endpoint other
-// than the picked one was untried, not backed off and had a free slot.
+// Another reports whether the last Pick had an alternative to the picked endpoint: one that
+// was untried, not backed off and had a free slot.
 func (b *Balancer) Another(picked int) bool {
 	for _, candidates := range b.usable {
 		for _, index := range candidates {
@@ -130,21 +129,21 @@
 	return false
 }
 
-// Key names an endpoint. A worker that was replaced at another address is
-// another endpoint.
+// Key identifies an endpoint. A worker that is replaced at another address is another
+// endpoint.
 type Key struct{ Worker, Address string }
 
 func keyOf(endpoint snapshot.Endpoint) Key {
 	return Key{Worker: endpoint.Worker, Address: endpoint.Address}
 }
 
-// tier is how far away an endpoint is.
+// tier groups endpoints by locality.
 type tier int
 
 const (
 	sameZone tier = iota
 	sameRegion
-	elsewhere
+	otherRegion
 	tiers
 )
 
@@ -155,29 +154,29 @@
 	case endpoint.Region == b.settings.Region:
 		return sameRegion
 	default:
-		return elsewhere
+		return otherRegion
 	}
 }
 
-// choose takes the nearest tier that has an endpoint with a free slot. If none
-// has, or all are backed off, it takes the cheapest of all: an endpoint that
-// looks bad is still better than a certain refusal.
+// choose picks from the nearest tier that has an endpoint with a free slot. If none has, or
+// all are backed off, it returns the cheapest of all: an endpoint that is probably bad is
+// better than a certain rejection.
 func (b *Balancer) choose(now time.Time, endpoints []snapshot.Endpoint, tried []int) int {
-	for near := range b.usable {
-		b.usable[near] = b.usable[near][:0]
+	for level := range b.usable {
+		b.usable[level] = b.usable[level][:0]
 	}
 	fallback, lowest := -1, math.Inf(1)
 	for index, endpoint := range endpoints {
 		if slices.Contains(tried, index) {
 			continue
 		}
-		held := b.stateOf(endpoint, now)
-		cost := b.cost(endpoint, held, now) * (1 + float64(b.tierOf(endpoint)))
-		if now.Before(held.backoffUntil) {
+		state := b.stateOf(endpoint, now)
+		cost := b.cost(endpoint, state, now) * (1 + float64(b.tierOf(endpoint)))
+		if now.Before(state.backoffUntil) {
 			cost += backedOffCost
-		} else if !b.saturated(endpoint, held, now) {
-			near := b.tierOf(endpoint)
-			b.usable[near] = append(b.usable[near], index)
+		} else if !b.saturated(endpoint, state, now) {
+			level := b.tierOf(endpoint)
+			b.usable[level] = append(b.usable[level], index)
 		}
 		if cost < lowest {
 			fallback, lowest = index, cost
@@ -185,17 +184,17 @@
 	}
 	for _, candidates := range b.usable {
 		if len(candidates) > 0 {
-			return b.ofTwo(now, endpoints, candidates)
+			return b.cheaperOfTwo(now, endpoints, candidates)
 		}
 	}
 	return fallback
 }
 
-// backedOffCost is more than any other cost.
+// backedOffCost exceeds any other cost.
 const backedOffCost = 1e6
 
-// ofTwo draws two different candidates and takes the cheaper one.
-func (b *Balancer) ofTwo(now time.Time, endpoints []snapshot.Endpoint, candidates []int) int {
+// cheaperOfTwo draws two different candidates at random and returns the cheaper one.
+func (b *Balancer) cheaperOfTwo(now time.Time, endpoints []snapshot.Endpoint, candidates []int) int {
 	first := b.random.IntN(len(candidates))
 	if len(candidates) == 1 {
 		return candidates[first]
@@ -213,36 +212,36 @@
 	return one
 }
 
-func (b *Balancer) stateOf(endpoint snapshot.Endpoint, now time.Time) *state {
+func (b *Balancer) stateOf(endpoint snapshot.Endpoint, now time.Time) *endpointState {
 	key := keyOf(endpoint)
-	held := b.endpoints[key]
-	if held == nil {
-		held = &state{slowness: 1, observed: now, used: now}
-		b.endpoints[key] = held
+	state := b.endpoints[key]
+	if state == nil {
+		state = &endpointState{slowness: 1, observed: now, used: now}
+		b.endpoints[key] = state
 	}
-	return held
+	return state
 }
 
-// prune forgets endpoints that were not used for long.
+// prune evicts endpoints that have not been used for Settings.EndpointExpiry.
 func (b *Balancer) prune(now time.Time) {
-	if now.Sub(b.pruned) < b.settings.Forget/2 {
+	if now.Sub(b.pruned) < b.settings.EndpointExpiry/2 {
 		return
 	}
 	b.pruned = now
-	for key, held := range b.endpoints {
-		if held.inFlight == 0 && now.Sub(held.used) > b.settings.Forget {
+	for key, state := range b.endpoints {
+		if state.inFlight == 0 && now.Sub(state.used) > b.settings.EndpointExpiry {
 			delete(b.endpoints, key)
 		}
 	}
 }
 
-// InFlight returns the number of requests of this node at an endpoint.
+// InFlight returns the number of this node's requests in flight at an endpoint.
 func (b *Balancer) InFlight(endpoint snapshot.Endpoint) int {
-	if held := b.endpoints[keyOf(endpoint)]; held != nil {
-		return held.inFlight
+	if state := b.endpoints[keyOf(endpoint)]; state != nil {
+		return state.inFlight
 	}
 	return 0
 }
 
-// Len returns the number of endpoints that are remembered.
+// Len returns the number of tracked endpoints.
 func (b *Balancer) Len() int { return len(b.endpoints) }
--- a/internal/traffic/balance/balance_test.go
+++ b/internal/traffic/balance/balance_test.go
@@ -20,7 +20,7 @@
 	return New(DefaultSettings("z1", "r1"), rand.New(rand.NewPCG(7, 7)))
 }
 
-func TestNearestWithAFreeSlot(t *testing.T) {
+func TestNearestEndpointWithFreeSlotIsPicked(t *testing.T) {
 	b := newBalancer()
 	endpoints := []snapshot.Endpoint{endpoint("far", "z9", "r2"), endpoint("mid", "z2", "r1"), endpoint("near", "z1", "r1")}
 	counts := map[string]int{}
@@ -30,8 +30,9 @@
 	must.Eq(t, map[string]int{"near": 6, "mid": 6, "far": 3}, counts)
 }
 
-// Five in flight and one of another node fill six slots, until the report fades.
-func TestReportOfFullCounts(t *testing.T) {
+// A reported request of another node occupies a slot until the report has expired: five in
+// flight and one reported fill six slots.
+func TestReportedRequestsOccupySlots(t *testing.T) {
 	b := newBalancer()
 	endpoints := []snapshot.Endpoint{endpoint("near", "z1", "r1"), endpoint("far", "z9", "r2")}
 	for range 6 {
@@ -44,13 +45,13 @@
 	must.Eq(t, 0, b.Pick(start.Add(time.Second), endpoints, nil))
 }
 
-func TestAllTried(t *testing.T) {
+func TestPickReturnsNoneWhenAllWereTried(t *testing.T) {
 	b := newBalancer()
 	must.Eq(t, -1, b.Pick(start, []snapshot.Endpoint{endpoint("a", "z1", "r1")}, []int{0}))
 	must.Eq(t, -1, b.Pick(start, nil, nil))
 }
 
-func TestAllBackedOffStillTriesOne(t *testing.T) {
+func TestBackedOffEndpointIsPickedIfThereIsNoOther(t *testing.T) {
 	b := newBalancer()
 	only := []snapshot.Endpoint{endpoint("a", "z1", "r1")}
 	must.Eq(t, 0, b.Pick(start, only, nil))
@@ -58,16 +59,16 @@
 	must.Eq(t, 0, b.Pick(start, only, nil))
 }
 
-// share runs requests one after the other and returns how many of them each
-// endpoint got. The outcome is told by answer.
-func share(b *Balancer, endpoints []snapshot.Endpoint, count int, answer func(worker string) Observation) map[string]int {
+// share runs requests one after the other, with the outcomes that observe returns, and
+// counts the requests by endpoint.
+func share(b *Balancer, endpoints []snapshot.Endpoint, count int, observe func(worker string) Observation) map[string]int {
 	counts := map[string]int{}
 	now := start
 	for range count {
 		now = now.Add(5 * time.Millisecond)
 		chosen := endpoints[b.Pick(now, endpoints, nil)]
 		counts[chosen.Worker]++
-		b.Ended(now, "route", chosen, answer(chosen.Worker))
+		b.Ended(now, "route", chosen, observe(chosen.Worker))
 	}
 	return counts
 }
@@ -76,17 +77,17 @@
 	return []snapshot.Endpoint{endpoint("a", "z1", "r1"), endpoint("b", "z1", "r1"), endpoint("c", "z1", "r1")}
 }
 
-func TestFailingEndpointIsLeftAlone(t *testing.T) {
+func TestFailingEndpointIsBackedOff(t *testing.T) {
 	counts := share(newBalancer(), three(), 1000, func(worker string) Observation {
 		return Observation{Failed: worker == "b", Latency: time.Millisecond}
 	})
 	must.Less(t, 30, counts["b"])
-	must.Positive(t, counts["b"]) // it is tried again now and then
+	must.Positive(t, counts["b"]) // it is tried again from time to time
 }
 
-// An endpoint that has failed is tried by one request at a time once its back-off
-// is over: all that came until the first of them had failed were lost.
-func TestFailedEndpointIsTriedByOneRequest(t *testing.T) {
+// A failed endpoint is probed by one request at a time after its backoff. All requests sent
+// there before the first of them had failed were lost.
+func TestFailedEndpointIsProbedByOneRequest(t *testing.T) {
 	b := newBalancer()
 	endpoints := []snapshot.Endpoint{endpoint("a", "z1", "r1"), endpoint("b", "z2", "r1")}
 	need := Need{Route: "route", Objective: time.Second}
@@ -100,9 +101,9 @@
 	must.Eq(t, 0, b.Cheapest(later, need, endpoints, nil).Index)
 }
 
-// A node that gave no sign of life gets no request at all until its back-off is
-// over, and then one: also when all others refuse. Requests spent their time on it.
-func TestUnreachableNodeIsLeftAlone(t *testing.T) {
+// An unresponsive node gets no request until its backoff is over, and then only one, even
+// if all other endpoints reject. Requests spent their time on such nodes.
+func TestUnresponsiveNodeIsBackedOff(t *testing.T) {
 	b := newBalancer()
 	endpoints := []snapshot.Endpoint{endpoint("a", "z1", "r1")}
 	need := Need{Route: "route", Objective: time.Second}
@@ -112,13 +113,13 @@
 	later := start.Add(time.Minute)
 	must.Eq(t, 0, b.Cheapest(later, need, endpoints, nil).Index)
 	must.Eq(t, -1, b.Cheapest(later, need, endpoints, nil).Index)
-	b.Ended(later, "route", endpoints[0], Observation{Failed: true}) // it lives, its worker failed
+	b.Ended(later, "route", endpoints[0], Observation{Failed: true}) // the node responds, its worker failed
 	must.Eq(t, 0, b.Cheapest(later, need, endpoints, nil).Index)
 }
 
-// A choice to which no request was sent leaves no trace: neither a place taken,
-// nor word that an endpoint that had failed is well again.
-func TestReleasedChoiceLeavesNoTrace(t *testing.T) {
+// A choice to which no request was sent changes nothing: its slot is free again, and an
+// endpoint that had failed is not taken for healthy.
+func TestReleasedChoiceKeepsEndpointState(t *testing.T) {
 	b := newBalancer()
 	endpoints := []snapshot.Endpoint{endpoint("a", "z1", "r1")}
 	need := Need{Route: "route", Objective: time.Second}
@@ -127,11 +128,11 @@
 	later := start.Add(time.Minute)
 	must.Eq(t, 0, b.Cheapest(later, need, endpoints, nil).Index)
 	b.Release(later, endpoints[0])
-	must.Eq(t, 0, b.Cheapest(later, need, endpoints, nil).Index)  // the trial is free again
-	must.Eq(t, -1, b.Cheapest(later, need, endpoints, nil).Index) // and still one at a time
+	must.Eq(t, 0, b.Cheapest(later, need, endpoints, nil).Index)  // the next probe is allowed
+	must.Eq(t, -1, b.Cheapest(later, need, endpoints, nil).Index) // still one at a time
 }
 
-func TestSlowEndpointIsUsedLess(t *testing.T) {
+func TestSlowEndpointGetsFewerRequests(t *testing.T) {
 	counts := share(newBalancer(), three(), 1000, func(worker string) Observation {
 		if worker == "b" {
 			return Observation{Latency: 10 * time.Millisecond}
@@ -141,9 +142,9 @@
 	must.Less(t, 100, counts["b"])
 }
 
-// An endpoint that claims to be idle and fails, or to be idle and is slow,
-// draws no more than its behaviour earns.
-func TestMisleadingLoadIsOutweighed(t *testing.T) {
+// An endpoint that reports to be idle but is slow gets only the share that its observed
+// response times justify.
+func TestObservedLatencyOutweighsReportedLoad(t *testing.T) {
 	counts := share(newBalancer(), three(), 1000, func(worker string) Observation {
 		if worker == "b" {
 			return Observation{Latency: 10 * time.Millisecond, Loaded: true, Load: Load{Busy: 0, Slots: 6}}
@@ -153,7 +154,7 @@
 	must.Less(t, 150, counts["b"])
 }
 
-func TestColdEndpointStartsSlowly(t *testing.T) {
+func TestColdEndpointGetsSlowStart(t *testing.T) {
 	endpoints := three()
 	endpoints[1].ReadySince = start
 	counts := share(newBalancer(), endpoints, 100, func(string) Observation { return Observation{Latency: time.Millisecond} })
@@ -163,7 +164,7 @@
 	must.Between(t, 200, counts["b"], 400)
 }
 
-func TestForgetsEndpointsThatAreGone(t *testing.T) {
+func TestUnusedEndpointsAreEvicted(t *testing.T) {
 	b := newBalancer()
 	only := []snapshot.Endpoint{endpoint("a", "z1", "r1")}
 	b.Pick(start, only, nil)
@@ -173,16 +174,16 @@
 	must.Eq(t, 1, b.Len())
 }
 
-// An endpoint whose link is full is passed over for one whose link is not, though it
-// has free slots: until the wait that its node told is over.
-func TestFullLinkCounts(t *testing.T) {
+// An endpoint with free slots but a busy link is skipped in favour of one with a free link,
+// until the reported wait is over.
+func TestEndpointWithBusyLinkIsAvoided(t *testing.T) {
 	b := newBalancer()
 	both := []snapshot.Endpoint{endpoint("a", "z1", "r1"), endpoint("b", "z1", "r1")}
 	need := Need{Route: "upload", Objective: 500 * time.Millisecond, Deadline: time.Second}
 	for index, link := range []time.Duration{400 * time.Millisecond, 0} {
-		told := Load{Slots: 6, Run: 100 * time.Millisecond, Link: link}
+		reported := Load{Slots: 6, Run: 100 * time.Millisecond, Link: link}
 		b.Cheapest(start, need, both[index:index+1], nil)
-		b.Ended(start, "upload", both[index], Observation{Loaded: true, Load: told})
+		b.Ended(start, "upload", both[index], Observation{Loaded: true, Load: reported})
 	}
 	for range 5 {
 		choice := b.Cheapest(start.Add(50*time.Millisecond), need, both, nil)
@@ -198,8 +199,8 @@
 	must.True(t, chosen[0])
 }
 
-// What goes to another node takes of the machine's link, the more the longer it is and the
-// slower the link: a long body stays at the local worker though another one is faster.
+// Bytes to other nodes have a price that rises with their number and with slower links: a
+// long body goes to the local worker even if another one is faster.
 func TestBytesToOtherNodesHaveAPrice(t *testing.T) {
 	chosen := func(megabits, kilobytes float64) int {
 		settings := DefaultSettings("z1", "r1")
@@ -217,5 +218,5 @@
 	must.Eq(t, 0, chosen(5, 60))
 	must.Eq(t, 1, chosen(5, 0.5))
 	must.Eq(t, 1, chosen(1000, 60))
-	must.Eq(t, 1, chosen(0, 60)) // of a link that nothing is known of
+	must.Eq(t, 1, chosen(0, 60)) // link capacity unknown
 }
--- a/internal/traffic/balance/cheapest_bench_test.go
+++ b/internal/traffic/balance/cheapest_bench_test.go
@@ -8,7 +8,8 @@
 	"sliphead/internal/snapshot"
 )
 
-// BenchmarkCheapest chooses among the 58 endpoints of a service, of which most are known.
+// BenchmarkCheapest measures a choice among the 58 endpoints of a service, all with
+// reported load.
 func BenchmarkCheapest(b *testing.B) {
 	balancer := newBalancer()
 	var endpoints []snapshot.Endpoint
--- a/internal/traffic/balance/credit.go
+++ b/internal/traffic/balance/credit.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// runSpread is the standard deviation of the logarithm of how long requests of one
-// route take at an endpoint, once they have a slot: such times spread by factors,
-// here two thirds of them by 1.6 at most. It is the same for all: a spread learnt by
-// route and endpoint chose worse (docs/design/decisions-under-load.md).
+// runSpread is the standard deviation of the logarithm of a route's run times at an
+// endpoint (log-normal distribution): two thirds of them are within a factor of 1.6 of the
+// median. One value is used for all; estimating it by route and endpoint gave worse choices
+// (docs/design/decisions-under-load.md).
 const runSpread = 0.5
 
-// within is the share of runs of a mean that end in a time. Of runs that nothing is
-// known of, all do: an endpoint that nobody knows is tried.
-func within(mean, limit time.Duration) float64 {
+// shareWithin returns the share of runs with the given mean that end within limit. It is 1
+// if the mean is unknown (0), so that endpoints without observations are tried.
+func shareWithin(mean, limit time.Duration) float64 {
 	if limit <= 0 {
 		return 0
 	}
@@ -25,23 +25,24 @@
 		return 1
 	}
 	below := int(place)
-	return shares[below] + (place-float64(below))*(shares[below+1]-shares[below])
+	return runShares[below] + (place-float64(below))*(runShares[below+1]-runShares[below])
 }
 
-// The shares stand in a table, since each choice asks for them twice an endpoint: the
-// exact function took 60 % of a choice among 58 endpoints. Between two places they are
-// taken to rise evenly, which is off by less than 0.001.
+// The shares are looked up in a table, twice for each endpoint and choice, because the exact
+// function took 60 % of the time of a choice among 58 endpoints. Linear interpolation keeps
+// the error below 0.001.
 const (
-	sharesPerMean = 64 // places of the table for each mean
-	mostMeans     = 8  // beyond so many times the mean, all runs have ended but for 0.00001
-	shareCount    = sharesPerMean*mostMeans + 1
+	sharesPerMean = 64 // table entries for each multiple of the mean
+	maxMeans      = 8  // runs longer than this multiple of the mean are ignored: a share of 0.00001
+	shareCount    = sharesPerMean*maxMeans + 1
 )
 
-var shares = sharesOfRuns()
+var runShares = newRunShares()
 
-// sharesOfRuns returns the shares of runs that end within the places of the table.
-func sharesOfRuns() (table [shareCount]float64) {
-	median := math.Exp(-runSpread * runSpread / 2) // of a mean of one
+// newRunShares returns the table: entry i is the share of runs that end within
+// i/sharesPerMean of the mean.
+func newRunShares() (table [shareCount]float64) {
+	median := math.Exp(-runSpread * runSpread / 2) // for a mean of 1
 	for place := 1; place < shareCount; place++ {
 		limit := float64(place) / sharesPerMean
 		table[place] = math.Erfc(-math.Log(limit/median)/(runSpread*math.Sqrt2)) / 2
@@ -49,19 +50,21 @@
 	return table
 }
 
-// lateCredit is what an answer after the objective is worth, in parts of one in
-// time. Callers differ in it; some part of the whole is all that is assumed.
+// lateCredit is the value of a response after the objective, relative to one in time.
+// Callers differ in how much a late response is worth to them; only that it is a part of
+// the whole is assumed.
 const lateCredit = 0.2
 
-// credit is what a request may expect that waits and then runs: the share of
-// answers within the objective, and a part of those that come later.
+// credit is the expected value of a request with the given wait and expected run time, 0 to
+// 1: the share of responses within the objective plus lateCredit for those within the
+// deadline.
 func credit(need Need, wait, run time.Duration) float64 {
 	if need.Objective <= 0 {
 		return 1
 	}
-	inTime := within(run, need.Objective-wait)
+	inTime := shareWithin(run, need.Objective-wait)
 	if need.Deadline <= 0 {
 		return inTime
 	}
-	return inTime + lateCredit*max(0, within(run, need.Deadline-wait)-inTime)
+	return inTime + lateCredit*max(0, shareWithin(run, need.Deadline-wait)-inTime)
 }
--- a/internal/traffic/balance/distance.go
+++ b/internal/traffic/balance/distance.go
@@ -6,104 +6,110 @@
 	"sliphead/internal/snapshot"
 )
 
-// Distances are measured, not told: the least time from a request to the first sign of the
-// node, or of opening a connection to it, is the round trip, and what is beyond it waited
-// for a processor or a link. Nodes of one zone are equally far, so one of them speaks for
-// all. Names of regions say only what holds until something was measured.
+// Distances are measured, not configured. The minimum time from a request to the first
+// acknowledgement of the node, or for opening a connection to it, is the round trip time;
+// anything above it was spent waiting for a processor or a link. Nodes of one zone are
+// assumed to be at the same distance. Region names matter only until a round trip has been
+// measured.
 
 const (
-	// roundTripWindow is for how long a least round trip counts, and once more as the one
-	// of the window before: so a way that has become longer is known within a minute.
+	// roundTripWindow is the time over which the minimum is taken; the minimum of the
+	// previous window counts too. A path that has become longer is therefore detected
+	// within a minute.
 	roundTripWindow = 30 * time.Second
-	// unknownRoundTrip is taken for a region that no round trip is known of: regions of one
-	// continent are 10 to 100 ms apart there and back.
+	// unknownRoundTrip is assumed for a region without measurements: round trips between
+	// regions of one continent take 10 to 100 ms.
 	unknownRoundTrip = 50 * time.Millisecond
-	// mostDistances is how many zones are remembered; beyond, all are learnt anew.
-	mostDistances = 1024
+	// maxDistances bounds the tracked zones and regions; when it is reached, all are
+	// discarded and measured again.
+	maxDistances = 1024
 )
 
-// distance is the least round trip to a zone or a region in this window and in the last; 0:
-// none was measured.
+// distance holds the minimum round trip to a zone or region in the current and in the
+// previous window; 0: none measured.
 type distance struct {
-	least, before time.Duration
-	since         time.Time
+	minimum, previous time.Duration
+	since             time.Time
 }
 
-// add returns the distance with one more round trip.
+// add returns the distance with one more measured round trip.
 func (d distance) add(took time.Duration, now time.Time) distance {
 	if now.Sub(d.since) >= roundTripWindow {
-		d.before, d.least, d.since = d.least, 0, now
+		d.previous, d.minimum, d.since = d.minimum, 0, now
 	}
-	if d.least == 0 || took < d.least {
-		d.least = took
+	if d.minimum == 0 || took < d.minimum {
+		d.minimum = took
 	}
 	return d
 }
 
 func (d distance) roundTrip() time.Duration {
-	if d.least == 0 || d.before > 0 && d.before < d.least {
-		return d.before
+	if d.minimum == 0 || d.previous > 0 && d.previous < d.minimum {
+		return d.previous
 	}
-	return d.least
+	return d.minimum
 }
 
-// place names what distances are learnt of; an empty zone stands for the whole region.
-type place struct{ zone, region string }
+// locality is the key of a distance; an empty zone stands for the whole region.
+type locality struct{ zone, region string }
 
-// noteRoundTrip takes in how long a sign of an endpoint's node took.
-func (b *Balancer) noteRoundTrip(now time.Time, endpoint *snapshot.Endpoint, took time.Duration) {
+// recordRoundTrip records a measured round trip to an endpoint's node. Those within the own
+// zone are ignored.
+func (b *Balancer) recordRoundTrip(now time.Time, endpoint *snapshot.Endpoint, took time.Duration) {
 	if took <= 0 || endpoint.Zone == b.settings.Zone {
 		return
 	}
-	if len(b.distances) >= mostDistances {
+	if len(b.distances) >= maxDistances {
 		clear(b.distances)
 	}
-	for _, of := range []place{{endpoint.Zone, endpoint.Region}, {"", endpoint.Region}} {
+	for _, of := range []locality{{endpoint.Zone, endpoint.Region}, {"", endpoint.Region}} {
 		b.distances[of] = b.distances[of].add(took, now)
 	}
 }
 
-// RoundTrip returns how long a message to an endpoint's node and its answer are on the way,
-// and whether that was measured, be it to another node of its zone or region. In the own
-// zone it is taken for nothing: all that is known of it stands in the times of runs.
+// RoundTrip returns the round trip time to an endpoint's node, and whether it was measured,
+// if only for another node of its zone or region. Within the own zone it counts as 0: it is
+// already included in the observed run times.
 func (b *Balancer) RoundTrip(endpoint *snapshot.Endpoint) (took time.Duration, measured bool) {
 	if endpoint.Zone == b.settings.Zone {
 		return 0, true
 	}
-	for _, of := range []place{{endpoint.Zone, endpoint.Region}, {"", endpoint.Region}} {
-		if known := b.distances[of].roundTrip(); known > 0 {
-			return known, true
+	for _, of := range []locality{{endpoint.Zone, endpoint.Region}, {"", endpoint.Region}} {
+		if minimum := b.distances[of].roundTrip(); minimum > 0 {
+			return minimum, true
 		}
 	}
-	if b.isFar(endpoint) {
+	if b.isRemote(endpoint) {
 		return unknownRoundTrip, false
 	}
 	return 0, false
 }
 
-// IsFar reports whether an endpoint is in another region than a node's. One of which no
-// region is known counts as near: its distance is measured all the same.
+// IsFar reports whether an endpoint is in another region than a node of the given zone and
+// region. An endpoint without a region counts as near; its distance is measured all the
+// same.
 func IsFar(zone, region string, endpoint *snapshot.Endpoint) bool {
 	return endpoint.Zone != zone && endpoint.Region != "" && endpoint.Region != region
 }
 
-// isFar reports whether an endpoint is in another region.
-func (b *Balancer) isFar(endpoint *snapshot.Endpoint) bool {
+// isRemote reports whether an endpoint is in another region.
+func (b *Balancer) isRemote(endpoint *snapshot.Endpoint) bool {
 	return IsFar(b.settings.Zone, b.settings.Region, endpoint)
 }
 
-// onTheWay is how long a request and its answer are on the way to an endpoint and back. A
-// body that goes out only once it is asked for takes the way twice.
-func (b *Balancer) onTheWay(need Need, endpoint *snapshot.Endpoint) time.Duration {
+// networkTime is the time that a request and its response spend on the network. A body that
+// is sent only after the node has requested it needs a second round trip.
+func (b *Balancer) networkTime(need Need, endpoint *snapshot.Endpoint) time.Duration {
 	took, _ := b.RoundTrip(endpoint)
 	return time.Duration(max(1, need.Trips)) * took
 }
 
-// mostOnTheWay is the part of the time left that may be spent on the way: no node is waited
-// for longer without a sign, since the rest is left for a near one.
-const mostOnTheWay = 2
+// networkTimeDivisor bounds the network time to a part of the time left. An unresponsive
+// node is waited for no longer than that, so that the rest is left for a near node.
+const networkTimeDivisor = 2
 
-// isTooFar reports whether the way to an endpoint takes too much of the time that is left.
-func (b *Balancer) isTooFar(need Need, endpoint *snapshot.Endpoint) bool {
-	return need.Deadline > 0 && b.onTheWay(need, endpoint) >= need.Deadline/mostOnTheWay
+// exceedsNetworkTime reports whether the network time to an endpoint takes too much of the
+// time left.
+func (b *Balancer) exceedsNetworkTime(need Need, endpoint *snapshot.Endpoint) bool {
+	return need.Deadline > 0 && b.networkTime(need, endpoint) >= need.Deadline/networkTimeDivisor
 }
--- a/internal/traffic/balance/forecast.go
+++ b/internal/traffic/balance/forecast.go
@@ -9,91 +9,92 @@
 	"sliphead/internal/traffic/closing"
 )
 
-// Need is what a request asks of an endpoint.
+// Need describes a request to the balancer.
 type Need struct {
 	Route     string
-	Objective time.Duration // within which an answer is worth most; 0: none
-	Deadline  time.Duration // after which an answer is of no use
+	Objective time.Duration // within which a response has its full value; 0: none
+	Deadline  time.Duration // after which a response is of no use; 0: none
 	Kilobytes float64       // of the request
-	Trips     int           // ways there and back until the answer has come: 2 with a body that is asked for first; 0: 1
-	Refused   bool          // whether an endpoint has refused it for lack of room
-	Near      bool          // whether it is not to leave the zone any more
+	Trips     int           // round trips until the response has arrived: 2 if the body is sent on request; 0 counts as 1
+	Refused   bool          // whether an endpoint has rejected it for lack of capacity
+	Near      bool          // whether it must stay in the own zone
 	Urgency   closing.Urgency
-	Last      bool // whether its caller won't come back: endpoints that told to stay away are asked when no other is left
+	Last      bool // whether its caller will not retry: endpoints that asked for no more requests are used when no other is left
 }
 
-// The parts of an endpoint's price, in parts of a request's worth.
+// The parts of an endpoint's price, relative to the value of a request (1).
 const (
-	finishWeight  = 0.05  // of the time that an answer takes, in parts of the objective: the slot is free again sooner
-	crossingPrice = 0.02  // of leaving the zone, beside the bytes
-	bytePrice     = 0.035 // of a kilobyte that leaves the zone: an answer of 2 kB goes where one in eleven more come in time
-	queuePrice    = 0.05  // of a wait for a slot
-	lapsedPrice   = 0.1   // of an endpoint whose record is gone
-	failingPrice  = 100   // of an endpoint that is backed off
-	closedPrice   = 50    // of one that told to stay away, for a caller that won't come back
-	noise         = 0.02  // by which prices are blurred, so that nodes don't choose alike
-	likely        = 0.5   // share of answers in time, from which an endpoint is taken to answer in time
+	responseTimeWeight = 0.05  // for the response time relative to the objective: a slot is free again sooner
+	crossingPrice      = 0.02  // for leaving the zone, in addition to the bytes
+	bytePrice          = 0.035 // for each kilobyte that leaves the zone: with crossingPrice, 2 kB are worth 1 in 11 more responses in time
+	queuePrice         = 0.05  // for waiting for a slot
+	lapsedPrice        = 0.1   // for an endpoint whose store record is gone without notice of leaving
+	failingPrice       = 100   // for an endpoint that is backed off
+	pausedPrice        = 50    // for one that asked for no more requests, if the caller will not retry
+	noise              = 0.02  // maximum random addition, so that nodes do not all choose the same endpoint
+	inTimeProbability  = 0.5   // minimum share of in-time responses at which an endpoint counts as in time
 )
 
-// linkSecond is the price of a second of the machine's link, in requests' worth: what goes
-// to another node takes of a link that others need as well. On links of 5 Mbit/s in an
-// overload, 25 left 15.2 % of the requests late or unserved, 12.5 16.8 % and 100 14.5 %; 50
-// is between, so that a busy local worker is still left for a free one.
-const linkSecond = 50
+// linkSecondPrice is the price of a second of the machine's link: bytes to and from other
+// nodes use capacity that other requests need too. On links of 5 Mbit/s in an overload,
+// 12.5 left 16.8 % of the requests late or unserved, 25 15.2 % and 100 14.5 %; 50 lies
+// between, so that a busy local worker is still passed over for a free one at another node.
+const linkSecondPrice = 50
 
-// linkPrice is the price of a kilobyte that goes to another node or comes from it.
+// linkPrice is the price of a kilobyte sent to or received from another node.
 func (s *Settings) linkPrice() float64 {
 	const megabitsPerKilobyte = 0.008
 	if s.LinkMbps <= 0 {
 		return 0
 	}
-	return linkSecond * megabitsPerKilobyte / s.LinkMbps
+	return linkSecondPrice * megabitsPerKilobyte / s.LinkMbps
 }
 
-// Choice is the endpoint chosen for a request.
+// Choice is the result of Cheapest.
 type Choice struct {
-	Index   int  // of the endpoint, -1 when there is none
-	Another bool // whether another one, with a free slot, would cost less than a wait at this one
-	// Patient says that the answer is expected late there, and that it would
-	// come in time elsewhere, at a higher price.
+	Index   int  // of the endpoint, -1 if there is none
+	Another bool // whether an alternative endpoint with a free slot would cost less than waiting at this one
+	// Patient is set if the response is expected after the objective there, but in time
+	// at an alternative endpoint with a higher price.
 	Patient bool
-	// Opens is after how long the first endpoint that has told to stay away is to be
-	// asked again, 0 if none has.
+	// Opens is the time until the first endpoint that asked for no more requests takes
+	// them again, 0 if none has asked.
 	Opens time.Duration
 }
 
-// Cheapest returns the endpoint at which a request is expected to cost least,
-// and counts it as in flight there until Ended. Excluded indices are passed
-// over, endpoints that told to stay away, nodes that gave no sign of life, but for one trial now and then, and after a
-// refusal other zones that have no room.
+// Cheapest returns the endpoint with the lowest expected cost and counts the request as in
+// flight there until Ended. It skips excluded indices, endpoints that asked for no more
+// requests (unless need.Last), unresponsive nodes except for an occasional trial, regions
+// that are unreachable, and, after a rejection, other zones that are unlikely to have
+// capacity.
 func (b *Balancer) Cheapest(now time.Time, need Need, endpoints []snapshot.Endpoint, excluded []int) Choice {
 	choice := Choice{Index: -1}
 	best, second := math.Inf(1), math.Inf(1)
 	inTimeElsewhere := false
 	var chosen estimate
 	for index := range endpoints {
-		if slices.Contains(excluded, index) || b.passedOver(now, need, &endpoints[index]) {
+		if slices.Contains(excluded, index) || b.isSkipped(now, need, &endpoints[index]) {
 			continue
 		}
 		expected := b.estimate(need, &endpoints[index], now)
-		if expected.held.isUnreachable(now) {
+		if expected.state.isUnreachable(now) {
 			continue
 		}
-		closed := expected.held.closedUntil[need.Urgency].Sub(now)
-		if closed > 0 {
-			choice.noteClosed(closed)
+		paused := expected.state.pausedUntil[need.Urgency].Sub(now)
+		if paused > 0 {
+			choice.notePaused(paused)
 		}
-		if closed > 0 && !need.Last {
+		if paused > 0 && !need.Last {
 			continue
 		}
 		price, free := b.price(now, need, &endpoints[index], expected)
-		if closed > 0 {
-			price += closedPrice
+		if paused > 0 {
+			price += pausedPrice
 			free = false
 		}
 		inTimeElsewhere = inTimeElsewhere || free && expected.inTime(need)
 		if price < best {
-			if free || choice.Index >= 0 && chosen.free && !chosen.held.leftAlone(now) {
+			if free || choice.Index >= 0 && chosen.free && !chosen.state.isBackedOff(now) {
 				second = min(second, best)
 			}
 			choice.Index, best, chosen = index, price, expected
@@ -106,76 +107,76 @@
 	}
 	choice.Patient = inTimeElsewhere && !chosen.inTime(need)
 	choice.Another = second < best+b.waitPrice(need, &endpoints[choice.Index], chosen)
-	chosen.held.inFlight++
-	chosen.held.used = now
-	b.noteTry(&endpoints[choice.Index])
+	chosen.state.inFlight++
+	chosen.state.used = now
+	b.recordAttempt(&endpoints[choice.Index])
 	b.prune(now)
 	return choice
 }
 
-// noteClosed takes in that an endpoint has told to stay away for a while.
-func (c *Choice) noteClosed(closed time.Duration) {
-	if c.Opens == 0 || closed < c.Opens {
-		c.Opens = closed
+// notePaused records that an endpoint takes no such requests for a time.
+func (c *Choice) notePaused(paused time.Duration) {
+	if c.Opens == 0 || paused < c.Opens {
+		c.Opens = paused
 	}
 }
 
-// estimate is what a request has to expect at an endpoint.
+// estimate is the expected cost in time of a request at an endpoint.
 type estimate struct {
-	held *state
-	wait time.Duration // on the way, for the link, and for a slot where none is free
-	run  time.Duration
-	free bool // whether a slot is free
+	state *endpointState
+	wait  time.Duration // for the network, for the link, and for a slot if none is free
+	run   time.Duration
+	free  bool // whether a slot is free
 }
 
 func (b *Balancer) estimate(need Need, endpoint *snapshot.Endpoint, now time.Time) estimate {
-	held := b.stateOf(*endpoint, now)
-	expected := estimate{held: held, run: b.run(held, need, now), wait: b.onTheWay(need, endpoint) + held.linkWait(need.Route, now)}
-	occupied := b.occupied(held, now)
+	state := b.stateOf(*endpoint, now)
+	expected := estimate{state: state, run: b.expectedRun(state, need, now), wait: b.networkTime(need, endpoint) + state.linkWait(need.Route, now)}
+	occupied := b.occupied(state, now)
 	expected.free = occupied < float64(max(1, endpoint.Slots))
 	if !expected.free {
-		expected.wait += b.queueWait(held, endpoint, need.Route, occupied, expected.run, now)
+		expected.wait += b.queueWait(state, endpoint, need.Route, occupied, expected.run, now)
 	}
 	return expected
 }
 
-// inTime reports whether an answer is likely to come within the objective.
+// inTime reports whether the response is likely to arrive within the objective.
 func (e estimate) inTime(need Need) bool {
-	return need.Objective <= 0 || within(e.run, need.Objective-e.wait) >= likely
+	return need.Objective <= 0 || shareWithin(e.run, need.Objective-e.wait) >= inTimeProbability
 }
 
-// linkWait is what is left of the wait for the link that the endpoint told.
-func (s *state) linkWait(route string, now time.Time) time.Duration {
-	told := s.forecasts[route]
-	return max(0, told.link-now.Sub(told.at))
+// linkWait is the remaining part of the reported wait for the link.
+func (s *endpointState) linkWait(route string, now time.Time) time.Duration {
+	reported := s.forecasts[route]
+	return max(0, reported.link-now.Sub(reported.at))
 }
 
-// Release takes back a choice to which no request was sent: it says nothing of
-// the endpoint.
+// Release undoes a choice to which no request was sent, without an observation of the
+// endpoint.
 func (b *Balancer) Release(now time.Time, endpoint snapshot.Endpoint) {
-	held := b.stateOf(endpoint, now)
-	held.inFlight = max(0, held.inFlight-1)
-	b.noteReleased(&endpoint)
+	state := b.stateOf(endpoint, now)
+	state.inFlight = max(0, state.inFlight-1)
+	b.recordRelease(&endpoint)
 }
 
-// price is what a request is expected to cost at an endpoint; free says whether it is
-// expected to take it at once.
+// price is the expected cost of a request at an endpoint; free reports whether a slot is
+// expected to be free there.
 func (b *Balancer) price(now time.Time, need Need, endpoint *snapshot.Endpoint, expected estimate) (price float64, free bool) {
 	free = expected.free
-	price = b.loss(need, expected.wait, expected.run) + expected.held.rejection(now)
+	price = b.loss(need, expected.wait, expected.run) + expected.state.rejectionPrice(now)
 	if !free {
 		price += queuePrice
 	}
 	if !endpoint.Local {
-		price += (need.Kilobytes + b.answerSize(need.Route)) * b.settings.linkPrice()
+		price += (need.Kilobytes + b.responseKilobytes(need.Route)) * b.settings.linkPrice()
 	}
 	if endpoint.Zone != b.settings.Zone {
-		price += crossingPrice + (need.Kilobytes+b.answerSize(need.Route))*bytePrice*b.byteFactor(endpoint)
+		price += crossingPrice + (need.Kilobytes+b.responseKilobytes(need.Route))*bytePrice*b.byteFactor(endpoint)
 	}
 	if endpoint.Lapsed {
 		price += lapsedPrice
 	}
-	if expected.held.leftAlone(now) {
+	if expected.state.isBackedOff(now) {
 		price += failingPrice
 		free = false
 	}
@@ -185,106 +186,110 @@
 	return price, free
 }
 
-// byteFactor is the price of a byte to another zone's endpoint, in parts of one within the
-// region.
+// byteFactor is the price of a byte to an endpoint of another zone, relative to one within
+// the region.
 func (b *Balancer) byteFactor(endpoint *snapshot.Endpoint) float64 {
-	if !b.isFar(endpoint) {
+	if !b.isRemote(endpoint) {
 		return 1
 	}
 	return max(1, b.settings.RegionBytes)
 }
 
-// leftAlone reports whether the endpoint is backed off, or has failed last and is
-// being tried by another request just now: one is enough to find out.
-func (s *state) leftAlone(now time.Time) bool {
+// isBackedOff reports whether the endpoint is backed off, or is being probed by one request
+// after its last failure.
+func (s *endpointState) isBackedOff(now time.Time) bool {
 	return now.Before(s.backoffUntil) || s.failures > 0 && s.inFlight > 0
 }
 
-// isUnreachable reports whether the endpoint's node gave no sign of life and is not
-// to be tried now: a request that goes there loses the time that it has.
-func (s *state) isUnreachable(now time.Time) bool { return s.unreachable && s.leftAlone(now) }
+// isUnreachable reports whether the endpoint's node was unresponsive and must not be tried
+// now: a request there would spend its time in vain.
+func (s *endpointState) isUnreachable(now time.Time) bool { return s.unreachable && s.isBackedOff(now) }
 
-// loss is the price of a wait and a run: the credit that they forgo, and the time
-// that they take.
+// loss is the price of a wait and a run: the credit lost plus the time spent. Without an
+// objective it is the time in seconds.
 func (b *Balancer) loss(need Need, wait, run time.Duration) float64 {
 	if need.Objective <= 0 {
 		return (wait + run).Seconds()
 	}
-	const mostParts = 2
+	const maxParts = 2
 	part := float64(wait+run) / float64(need.Objective)
-	return 1 - credit(need, wait, run) + finishWeight*min(part, mostParts)
+	return 1 - credit(need, wait, run) + responseTimeWeight*min(part, maxParts)
 }
 
-// waitPrice is what a wait for one slot adds to the price of an endpoint.
+// waitPrice is the additional price of waiting for one slot at an endpoint.
 func (b *Balancer) waitPrice(need Need, endpoint *snapshot.Endpoint, expected estimate) float64 {
 	wait := expected.run / time.Duration(max(1, endpoint.Slots))
 	return queuePrice + b.loss(need, wait, expected.run) - b.loss(need, 0, expected.run)
 }
 
-// occupied is the number of requests that hold or wait for a slot there: the
-// ones of this node, and what was last reported of others', fading.
-func (b *Balancer) occupied(held *state, now time.Time) float64 {
-	return float64(held.inFlight) + b.reported(held, now)
+// occupied is the number of requests that hold or wait for a slot at an endpoint: this
+// node's requests and the last reported number of others, which decays with age.
+func (b *Balancer) occupied(state *endpointState, now time.Time) float64 {
+	return float64(state.inFlight) + b.reportedOthers(state, now)
 }
 
-// forecast is what an endpoint's node told of requests of one route.
+// forecast is what an endpoint's node reported for the requests of one route.
 type forecast struct {
 	wait, run time.Duration
-	link      time.Duration // for which a body waits before it is asked for
+	link      time.Duration // wait before the node requests a body
 	at        time.Time
 }
 
-// maxForecasts bounds the routes that are remembered of one endpoint.
+// maxForecasts bounds the routes tracked for one endpoint; when it is reached, all are
+// discarded.
 const maxForecasts = 512
 
-func (s *state) tell(route string, load Load, now time.Time) {
+func (s *endpointState) setForecast(route string, load Load, now time.Time) {
 	if s.forecasts == nil || len(s.forecasts) >= maxForecasts {
 		s.forecasts = map[string]forecast{}
 	}
 	s.forecasts[route] = forecast{wait: load.Wait, run: load.Run, link: load.Link, at: now}
 }
 
-// run is how long the endpoint is expected to take: what it told of such
-// requests, else what is typical for the route. An endpoint that nobody here knows
-// is expected to be fast until a first request has come back: so faster ones are
-// found, by one request at a time.
-func (b *Balancer) run(held *state, need Need, now time.Time) time.Duration {
-	told := held.forecasts[need.Route]
-	if told.run > 0 && now.Sub(told.at) < runLife {
-		return told.run
+// expectedRun is the expected run time at an endpoint: the reported one if it is recent,
+// otherwise the typical one of the route. An endpoint without own requests in flight is
+// assumed to be faster than that, so that faster endpoints are discovered, with one request
+// at a time.
+func (b *Balancer) expectedRun(state *endpointState, need Need, now time.Time) time.Duration {
+	reported := state.forecasts[need.Route]
+	if reported.run > 0 && now.Sub(reported.at) < runExpiry {
+		return reported.run
 	}
-	expected := float64(b.typical[need.Route]) * held.slownessAt(now)
-	if held.inFlight == 0 {
-		expected *= hope
+	expected := float64(b.typicalLatency[need.Route]) * state.slownessAt(now)
+	if state.inFlight == 0 {
+		expected *= unknownRunFactor
 	}
 	return time.Duration(expected)
 }
 
-// hope is the part of the typical time that is expected of an unknown endpoint.
-const hope = 0.5
+// unknownRunFactor is the part of the typical run time that is assumed for an endpoint
+// without a recent report.
+const unknownRunFactor = 0.5
 
-// runLife is how long a time of runs counts that was told.
-const runLife = 10 * time.Second
+// runExpiry is the time after which a reported run time is ignored.
+const runExpiry = 10 * time.Second
 
-// toldWait is what is left of the wait that the endpoint told for such requests.
-// Another zone's endpoint that is busy is taken to stay so for a while: asking it
-// again costs bytes.
-func (b *Balancer) toldWait(held *state, route string, endpoint *snapshot.Endpoint, now time.Time) time.Duration {
-	told := held.forecasts[route]
-	age := now.Sub(told.at)
+// reportedWait is the remaining part of the wait that the endpoint reported for the route.
+// In other zones the reported wait starts to shrink only after remoteWaitHold, because
+// trying a busy endpoint again costs bytes between zones.
+func (b *Balancer) reportedWait(state *endpointState, route string, endpoint *snapshot.Endpoint, now time.Time) time.Duration {
+	reported := state.forecasts[route]
+	age := now.Sub(reported.at)
 	if endpoint.Zone != b.settings.Zone {
-		age -= steadyFor
+		age -= remoteWaitHold
 	}
-	return max(0, told.wait-max(0, age))
+	return max(0, reported.wait-max(0, age))
 }
 
-// steadyFor is how long a wait in another zone is taken to stay as it was told.
-const steadyFor = 150 * time.Millisecond
+// remoteWaitHold is the time for which a wait reported in another zone is assumed to stay
+// the same.
+const remoteWaitHold = 150 * time.Millisecond
 
-// queueWait is the expected wait for a slot where so many requests hold or wait for one.
-func (b *Balancer) queueWait(held *state, endpoint *snapshot.Endpoint, route string, occupied float64, run time.Duration, now time.Time) time.Duration {
+// queueWait is the expected wait for a slot, given the number of requests that hold or wait
+// for one.
+func (b *Balancer) queueWait(state *endpointState, endpoint *snapshot.Endpoint, route string, occupied float64, run time.Duration, now time.Time) time.Duration {
 	slots := float64(max(1, endpoint.Slots))
 	ahead := occupied - slots + 1
 	estimated := time.Duration(ahead / slots * float64(run))
-	return max(estimated, b.toldWait(held, route, endpoint, now))
+	return max(estimated, b.reportedWait(state, route, endpoint, now))
 }
--- a/internal/traffic/balance/observe.go
+++ b/internal/traffic/balance/observe.go
@@ -8,127 +8,129 @@
 )
 
 const (
-	observationWeight = 8                // one observation counts one in so many
-	slownessLife      = 10 * time.Second // over which an old observation fades
-	leastSlowness     = 0.5
-	mostSlowness      = 50
+	observationWeight = 8                // each observation has a weight of 1/observationWeight
+	slownessDecay     = 10 * time.Second // time constant at which an old observation decays
+	minSlowness       = 0.5
+	maxSlowness       = 50
 )
 
-// Ended ends a request that was counted by Pick and learns from it.
+// Ended ends a request that Pick or Cheapest counted, and records its outcome.
 func (b *Balancer) Ended(now time.Time, route string, endpoint snapshot.Endpoint, seen Observation) {
-	held := b.stateOf(endpoint, now)
-	held.inFlight = max(0, held.inFlight-1)
+	state := b.stateOf(endpoint, now)
+	state.inFlight = max(0, state.inFlight-1)
 	if seen.Loaded {
-		held.load = seen.Load
-		held.loadAt = now
-		held.closedUntil[seen.Urgency] = now.Add(seen.Load.Closed)
-		held.tell(route, seen.Load, now)
+		state.load = seen.Load
+		state.loadAt = now
+		state.pausedUntil[seen.Urgency] = now.Add(seen.Load.Closed)
+		state.setForecast(route, seen.Load, now)
 	}
 	if endpoint.Zone != b.settings.Zone && (seen.Refused || !seen.Failed) {
-		b.noteRoom(now, endpoint.Zone, route, !seen.Refused)
+		b.recordOffer(now, endpoint.Zone, route, !seen.Refused)
 	}
-	b.noteRoundTrip(now, &endpoint, seen.RoundTrip)
-	b.noteReach(now, &endpoint, seen)
-	held.unreachable = seen.Failed && seen.Unreachable
+	b.recordRoundTrip(now, &endpoint, seen.RoundTrip)
+	b.recordReachability(now, &endpoint, seen)
+	state.unreachable = seen.Failed && seen.Unreachable
 	if seen.Failed {
-		b.failed(held, now)
+		b.recordFailure(state, now)
 		return
 	}
-	held.failures = 0
-	held.backoffUntil = time.Time{}
+	state.failures = 0
+	state.backoffUntil = time.Time{}
 	if seen.Kilobytes > 0 {
-		b.learnSize(route, seen.Kilobytes)
+		b.recordSize(route, seen.Kilobytes)
 	}
 	if seen.Latency > 0 {
-		b.learn(route, held, seen.Latency, now)
+		b.recordLatency(route, state, seen.Latency, now)
 	}
 }
 
-// failed backs off exponentially, with jitter so that nodes don't come back to
-// an endpoint at once.
-func (b *Balancer) failed(held *state, now time.Time) {
-	held.backoffUntil = now.Add(b.pause(held.failures))
-	held.failures++
+// recordFailure backs the endpoint off exponentially, with jitter so that nodes do not all
+// return to it at once.
+func (b *Balancer) recordFailure(state *endpointState, now time.Time) {
+	state.backoffUntil = now.Add(b.backoff(state.failures))
+	state.failures++
 }
 
-// pause is for how long something is left alone that has failed before so many times.
-func (b *Balancer) pause(failures int) time.Duration {
-	const mostDoublings = 16
-	wait := b.settings.BackoffFirst << min(failures, mostDoublings)
-	wait = min(wait, b.settings.BackoffMost)
+// backoff is the time for which to avoid an endpoint or region, given the number of its
+// previous failures.
+func (b *Balancer) backoff(failures int) time.Duration {
+	const maxDoublings = 16
+	wait := b.settings.BackoffFirst << min(failures, maxDoublings)
+	wait = min(wait, b.settings.BackoffMax)
 	return wait/2 + time.Duration(b.random.Int64N(int64(wait/2)+1))
 }
 
-// learn compares an answer's time with what is typical for the route, so that
-// routes of different lengths don't blur the picture of an endpoint.
-func (b *Balancer) learn(route string, held *state, latency time.Duration, now time.Time) {
-	typical := b.typical[route]
+// recordLatency compares a response time with the route's typical one, so that an
+// endpoint's slowness does not depend on the mix of short and long routes.
+func (b *Balancer) recordLatency(route string, state *endpointState, latency time.Duration, now time.Time) {
+	typical := b.typicalLatency[route]
 	if typical == 0 {
-		b.typical[route] = latency
+		b.typicalLatency[route] = latency
 		return
 	}
-	b.typical[route] = typical + (min(latency, typical*2)-typical)/observationWeight/2
-	ratio := min(mostSlowness, max(leastSlowness, float64(latency)/float64(typical)))
-	current := held.slownessAt(now)
-	held.slowness = current + (ratio-current)/observationWeight
-	held.observed = now
+	b.typicalLatency[route] = typical + (min(latency, typical*2)-typical)/observationWeight/2
+	ratio := min(maxSlowness, max(minSlowness, float64(latency)/float64(typical)))
+	current := state.slownessAt(now)
+	state.slowness = current + (ratio-current)/observationWeight
+	state.observed = now
 }
 
-// learnSize takes in how large an answer was.
-func (b *Balancer) learnSize(route string, kilobytes float64) {
-	known, found := b.sizes[route]
+// recordSize records the size of a response.
+func (b *Balancer) recordSize(route string, kilobytes float64) {
+	typical, found := b.typicalKilobytes[route]
 	if !found {
-		known = kilobytes
+		typical = kilobytes
 	}
-	b.sizes[route] = known + (kilobytes-known)/observationWeight
+	b.typicalKilobytes[route] = typical + (kilobytes-typical)/observationWeight
 }
 
-// usualAnswer stands in for the kilobytes of an answer that none was seen of.
-const usualAnswer = 2
+// defaultKilobytes is the assumed size of a response on a route without observations.
+const defaultKilobytes = 2
 
-func (b *Balancer) answerSize(route string) float64 {
-	if known, found := b.sizes[route]; found {
-		return known
+func (b *Balancer) responseKilobytes(route string) float64 {
+	if typical, found := b.typicalKilobytes[route]; found {
+		return typical
 	}
-	return usualAnswer
+	return defaultKilobytes
 }
 
-// slownessAt lets an observation fade to 1, so that an endpoint that was slow
-// is tried again.
-func (s *state) slownessAt(now time.Time) float64 {
+// slownessAt returns the slowness, which decays to 1 so that an endpoint that was slow is
+// tried again.
+func (s *endpointState) slownessAt(now time.Time) float64 {
 	age := now.Sub(s.observed)
 	if age <= 0 {
 		return s.slowness
 	}
-	return 1 + (s.slowness-1)*math.Exp(-float64(age)/float64(slownessLife))
+	return 1 + (s.slowness-1)*math.Exp(-float64(age)/float64(slownessDecay))
 }
 
 // cost is the expected time at the endpoint in units of a typical run.
-func (b *Balancer) cost(endpoint snapshot.Endpoint, held *state, now time.Time) float64 {
-	waiting := float64(held.inFlight + 1)
-	waiting += b.reported(held, now)
+func (b *Balancer) cost(endpoint snapshot.Endpoint, state *endpointState, now time.Time) float64 {
+	waiting := float64(state.inFlight + 1)
+	waiting += b.reportedOthers(state, now)
 	waiting /= float64(max(1, endpoint.Slots))
-	return waiting * held.slownessAt(now) / b.warmth(endpoint, now)
+	return waiting * state.slownessAt(now) / b.warmth(endpoint, now)
 }
 
-// reported is what others have running there, by its last report; it fades
-// within the report's life.
-func (b *Balancer) reported(held *state, now time.Time) float64 {
-	age := now.Sub(held.loadAt)
-	if age >= b.settings.ReportLife {
+// reportedOthers is the number of other nodes' requests at the endpoint by its last report.
+// It decays to 0 within ReportExpiry.
+func (b *Balancer) reportedOthers(state *endpointState, now time.Time) float64 {
+	age := now.Sub(state.loadAt)
+	if age >= b.settings.ReportExpiry {
 		return 0
 	}
-	others := max(0, held.load.Busy+held.load.Queued-held.inFlight)
-	return float64(others) * (1 - float64(age)/float64(b.settings.ReportLife))
+	others := max(0, state.load.Busy+state.load.Queued-state.inFlight)
+	return float64(others) * (1 - float64(age)/float64(b.settings.ReportExpiry))
 }
 
-// saturated reports whether the endpoint has no free slot. What others have
-// running is rounded: a report of full would else count for no time at all.
-func (b *Balancer) saturated(endpoint snapshot.Endpoint, held *state, now time.Time) bool {
-	return float64(held.inFlight)+math.Round(b.reported(held, now)) >= float64(max(1, endpoint.Slots))
+// saturated reports whether the endpoint has no free slot. The decaying number of others'
+// requests is rounded; otherwise a report of a full endpoint would have no effect.
+func (b *Balancer) saturated(endpoint snapshot.Endpoint, state *endpointState, now time.Time) bool {
+	return float64(state.inFlight)+math.Round(b.reportedOthers(state, now)) >= float64(max(1, endpoint.Slots))
 }
 
-// warmth rises from a tenth to one over the slow start.
+// warmth is the share of its capacity that a cold endpoint gets: it rises from 0.1 to 1
+// over the slow start.
 func (b *Balancer) warmth(endpoint snapshot.Endpoint, now time.Time) float64 {
 	const coldest = 0.1
 	if endpoint.ReadySince.IsZero() || b.settings.SlowStart <= 0 {
--- a/internal/traffic/balance/closed_test.go
+++ b/internal/traffic/balance/paused_test.go
@@ -9,10 +9,10 @@
 	"sliphead/internal/snapshot"
 )
 
-// After all workers of a service started anew at once, their nodes tell callers' nodes to
-// stay away. A caller at its last try is offered there all the same, but only while no
-// other endpoint is left, however slow that is.
-func TestClosedEndpointsAreTheLastResort(t *testing.T) {
+// When all workers of a service have restarted at once, their nodes ask callers' nodes to
+// send no requests for a while. A request whose caller will not retry is still sent there,
+// but only if no other endpoint is left, however slow.
+func TestPausedEndpointsAreTheLastResort(t *testing.T) {
 	b := newBalancer()
 	endpoints := []snapshot.Endpoint{endpoint("cold", "z1", "r1"), endpoint("slow", "z2", "r1")}
 	b.Ended(start, "read", endpoints[0], Observation{Refused: true, Loaded: true, Load: Load{Slots: 6, Closed: time.Second}})
--- a/internal/traffic/balance/region.go
+++ b/internal/traffic/balance/region.go
@@ -6,70 +6,72 @@
 	"sliphead/internal/snapshot"
 )
 
-// A region that is cut off has many endpoints, and each of them would be found out by
-// requests of its own that wait for a sign. So other regions are also judged as a whole:
-// after a few endpoints in a row that gave no sign of life, one request at a time goes
-// there to find out, at growing intervals. A first sign makes the region count again; its
-// endpoints come back one by one, as each of them is backed off for itself, so that no wave
-// of requests follows.
+// If a region is unreachable, each of its many endpoints would be detected as such by requests
+// of its own that wait for a response. Other regions are therefore also tracked as a whole:
+// after a few consecutive unresponsive endpoints, only one probing request at a time is sent
+// to the region, at growing intervals. The first response makes the region available again.
+// Its failed endpoints return one by one, since each has its own backoff, so that no burst of
+// requests follows.
 
-// silentEndpoints is how many tries in a row have to meet silence in a region before it is
-// taken for lost: more than the machines that usually fail together there.
-const silentEndpoints = 3
+// unreachableThreshold is the number of consecutive attempts without a response after which
+// a region counts as unreachable: more than the machines that usually fail together.
+const unreachableThreshold = 3
 
-// reach is what is known of the way to another region.
-type reach struct {
-	silent int // tries in a row without a sign of life
-	until  time.Time
-	trying bool // whether a request finds out just now
+// regionState is the reachability of another region.
+type regionState struct {
+	failures int       // consecutive attempts without a response
+	retryAt  time.Time // no attempt before then
+	probing  bool      // whether a probing request is in flight
 }
 
-// noteReach takes in whether an endpoint of another region gave a sign of life, or none in
-// time.
-func (b *Balancer) noteReach(now time.Time, endpoint *snapshot.Endpoint, seen Observation) {
-	if !b.isFar(endpoint) {
+// recordReachability records whether an endpoint of another region responded.
+func (b *Balancer) recordReachability(now time.Time, endpoint *snapshot.Endpoint, seen Observation) {
+	if !b.isRemote(endpoint) {
 		return
 	}
-	known := b.reaches[endpoint.Region]
-	known.trying = false
+	region := b.regions[endpoint.Region]
+	region.probing = false
 	switch {
 	case seen.RoundTrip > 0 || seen.Loaded:
-		known = reach{}
-	case seen.Unreachable: // not so a try that its caller or its deadline ended: it shows nothing
-		known.silent++
-		if known.silent >= silentEndpoints {
-			known.until = now.Add(b.pause(known.silent - silentEndpoints))
+		region = regionState{}
+	case seen.Unreachable: // an attempt ended by its caller or deadline shows nothing
+		region.failures++
+		if region.failures >= unreachableThreshold {
+			region.retryAt = now.Add(b.backoff(region.failures - unreachableThreshold))
 		}
 	}
-	b.reaches[endpoint.Region] = known
+	b.regions[endpoint.Region] = region
 }
 
-// isLost reports whether an endpoint's region is taken for lost and not to be tried now.
-func (b *Balancer) isLost(now time.Time, endpoint *snapshot.Endpoint) bool {
-	if !b.isFar(endpoint) {
+// regionIsBackedOff reports whether an endpoint's region is unreachable and must not be
+// tried now.
+func (b *Balancer) regionIsBackedOff(now time.Time, endpoint *snapshot.Endpoint) bool {
+	if !b.isRemote(endpoint) {
 		return false
 	}
-	known := b.reaches[endpoint.Region]
-	return b.Lost(endpoint.Region) && (known.trying || now.Before(known.until))
+	region := b.regions[endpoint.Region]
+	return b.Lost(endpoint.Region) && (region.probing || now.Before(region.retryAt))
 }
 
-// Lost reports whether a region is taken for lost.
-func (b *Balancer) Lost(region string) bool { return b.reaches[region].silent >= silentEndpoints }
+// Lost reports whether a region counts as unreachable.
+func (b *Balancer) Lost(region string) bool {
+	return b.regions[region].failures >= unreachableThreshold
+}
 
-// noteTry takes in that a request goes to an endpoint.
-func (b *Balancer) noteTry(endpoint *snapshot.Endpoint) {
-	if !b.isFar(endpoint) {
+// recordAttempt records that a request is sent to an endpoint.
+func (b *Balancer) recordAttempt(endpoint *snapshot.Endpoint) {
+	if !b.isRemote(endpoint) {
 		return
 	}
-	known := b.reaches[endpoint.Region]
-	known.trying = b.Lost(endpoint.Region)
-	b.reaches[endpoint.Region] = known
+	region := b.regions[endpoint.Region]
+	region.probing = b.Lost(endpoint.Region)
+	b.regions[endpoint.Region] = region
 }
 
-// noteReleased takes in that a request did not go to an endpoint after all.
-func (b *Balancer) noteReleased(endpoint *snapshot.Endpoint) {
-	if known, held := b.reaches[endpoint.Region]; held {
-		known.trying = false
-		b.reaches[endpoint.Region] = known
+// recordRelease records that a request was not sent to an endpoint after all.
+func (b *Balancer) recordRelease(endpoint *snapshot.Endpoint) {
+	if region, found := b.regions[endpoint.Region]; found {
+		region.probing = false
+		b.regions[endpoint.Region] = region
 	}
 }
--- a/internal/traffic/balance/region_test.go
+++ b/internal/traffic/balance/region_test.go
@@ -10,7 +10,7 @@
 	"sliphead/internal/snapshot"
 )
 
-// distantWorkers are workers of another region, each beside a node of its own.
+// distantWorkers returns workers of another region, each at a node of its own.
 func distantWorkers(count int) []snapshot.Endpoint {
 	var endpoints []snapshot.Endpoint
 	for index := range count {
@@ -19,59 +19,59 @@
 	return endpoints
 }
 
-var lost = Observation{Failed: true, Unreachable: true}
+var unreachable = Observation{Failed: true, Unreachable: true}
 
-// Two regions can't talk for an hour, and all of the own region's workers are busy: the
-// other region's thirty nodes are not found out one by one, by a request each time, but as
-// a whole, by one request in half of the longest back-off at most.
-func TestLostRegionCostsFewRequests(t *testing.T) {
-	const busy = 50 * time.Millisecond // between requests that have nowhere else to go
+// Two regions are disconnected for an hour while all workers of the own region are busy.
+// The thirty nodes of the other region are not detected as unreachable one by one, each by
+// a request, but as a whole: by at most one request in half of the maximum backoff.
+func TestUnreachableRegionCostsFewRequests(t *testing.T) {
+	const busy = 50 * time.Millisecond // between requests that have no other endpoint
 	b := newBalancer()
 	endpoints := distantWorkers(30)
 	need := Need{Route: "read", Objective: time.Second}
-	tries := 0
+	attempts := 0
 	for now := start; now.Before(start.Add(time.Hour)); now = now.Add(busy) {
 		chosen := b.Cheapest(now, need, endpoints, nil).Index
 		if chosen < 0 {
 			continue
 		}
-		tries++
-		b.Ended(now, "read", endpoints[chosen], lost)
+		attempts++
+		b.Ended(now, "read", endpoints[chosen], unreachable)
 	}
-	most := int(2*time.Hour/b.settings.BackoffMost) + 20
-	must.Less(t, most, tries)
-	must.Positive(t, tries)
+	maxAttempts := int(2*time.Hour/b.settings.BackoffMax) + 20
+	must.Less(t, maxAttempts, attempts)
+	must.Positive(t, attempts)
 }
 
-// While one request finds out, no other is sent after it. A sign of life makes the region
-// count again; workers that failed then are left alone for themselves, so the others' share
-// comes back first.
-func TestRegionComesBackWithoutAWave(t *testing.T) {
+// While one request probes an unreachable region, no other is sent there. The first
+// response makes the region available again; endpoints that failed keep their own backoff,
+// so that the others get requests first.
+func TestRegionRecoversWithoutBurst(t *testing.T) {
 	b := newBalancer()
 	endpoints := distantWorkers(6)
 	need := Need{Route: "read", Objective: time.Second}
-	for index := range silentEndpoints {
-		b.Ended(start, "read", endpoints[index], lost)
+	for index := range unreachableThreshold {
+		b.Ended(start, "read", endpoints[index], unreachable)
 	}
 	must.Eq(t, -1, b.Cheapest(start, need, endpoints, nil).Index)
-	healed := start.Add(b.settings.BackoffMost)
+	healed := start.Add(b.settings.BackoffMax)
 	first := b.Cheapest(healed, need, endpoints, nil).Index
 	must.NotEq(t, -1, first)
 	must.Eq(t, -1, b.Cheapest(healed, need, endpoints, nil).Index)
 
-	b.Ended(healed, "read", endpoints[first], Observation{RoundTrip: longWay})
+	b.Ended(healed, "read", endpoints[first], Observation{RoundTrip: remoteRoundTrip})
 	must.NotEq(t, -1, b.Cheapest(healed, need, endpoints, nil).Index)
 }
 
-// A refusal is a sign of life, and so is a worker's failure: machines that are down, or
-// full, don't make their region lost.
-func TestSomeNodesAreNotTheirRegion(t *testing.T) {
-	for _, sign := range []Observation{{RoundTrip: longWay}, {Refused: true, Loaded: true}, {Failed: true, RoundTrip: longWay}} {
+// Rejections and worker failures are responses: machines that are down or full do not make
+// their region unreachable.
+func TestResponsiveNodesKeepRegionReachable(t *testing.T) {
+	for _, sign := range []Observation{{RoundTrip: remoteRoundTrip}, {Refused: true, Loaded: true}, {Failed: true, RoundTrip: remoteRoundTrip}} {
 		b := newBalancer()
 		endpoints := distantWorkers(8)
-		for index := range 2 * (silentEndpoints - 1) {
-			b.Ended(start, "read", endpoints[index], lost)
-			if index == silentEndpoints-2 {
+		for index := range 2 * (unreachableThreshold - 1) {
+			b.Ended(start, "read", endpoints[index], unreachable)
+			if index == unreachableThreshold-2 {
 				b.Ended(start, "read", endpoints[7], sign)
 			}
 		}
@@ -79,14 +79,14 @@
 	}
 }
 
-// A try that its caller left, or that ended with its time, finds nothing out: the region
-// stays lost, and the next request tries it.
-func TestTryWithoutAnEndFindsNothingOut(t *testing.T) {
+// An attempt that its caller or its deadline ended shows nothing: the region stays
+// unreachable, and the next request probes it.
+func TestAbandonedAttemptKeepsRegionUnreachable(t *testing.T) {
 	b := newBalancer()
 	endpoints := distantWorkers(4)
 	need := Need{Route: "read", Objective: time.Second}
-	for index := range silentEndpoints {
-		b.Ended(start, "read", endpoints[index], lost)
+	for index := range unreachableThreshold {
+		b.Ended(start, "read", endpoints[index], unreachable)
 	}
 	later := start.Add(time.Minute)
 	for range 3 {
@@ -98,13 +98,14 @@
 	must.True(t, b.Lost("r2"))
 }
 
-// A choice to which no request was sent finds nothing out: the next one may.
-func TestReleasedChoiceFindsNothingOut(t *testing.T) {
+// A choice to which no request was sent is no probe of the region: the next request may
+// probe it.
+func TestReleasedChoiceIsNoProbeOfRegion(t *testing.T) {
 	b := newBalancer()
 	endpoints := distantWorkers(4)
 	need := Need{Route: "read", Objective: time.Second}
-	for index := range silentEndpoints {
-		b.Ended(start, "read", endpoints[index], lost)
+	for index := range unreachableThreshold {
+		b.Ended(start, "read", endpoints[index], unreachable)
 	}
 	later := start.Add(time.Minute)
 	chosen := b.Cheapest(later, need, endpoints, nil).Index
--- a/internal/traffic/balance/rejects.go
+++ b/internal/traffic/balance/rejects.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
-// rejectPrice is the price of a request that a worker rejects, in parts of its worth: it is
-// sent again out of a budget that is short, or its caller is refused and may come back.
+// rejectPrice is the price of a request that a worker rejects, relative to its value: a
+// retry uses up a small budget, or the caller is rejected and may retry.
 const rejectPrice = 0.5
 
-// rejectsLife is over which time a told share of rejections counts a third: as long as the
-// share is measured over, so that a worker that nobody asks is tried again.
-const rejectsLife = 2 * time.Second
+// rejectsDecay is the time constant at which a reported share of rejections decays, similar
+// to the time over which the share is measured, so that a worker that gets no requests is
+// tried again.
+const rejectsDecay = 2 * time.Second
 
-// rejection is the price of what the endpoint's worker rejects, as its node told.
-func (s *state) rejection(now time.Time) float64 {
+// rejectionPrice is the price of the requests that the endpoint's worker rejects, by its
+// node's last report.
+func (s *endpointState) rejectionPrice(now time.Time) float64 {
 	if s.load.Rejects == 0 {
 		return 0
 	}
 	age := now.Sub(s.loadAt)
-	return rejectPrice * s.load.Rejects * math.Exp(-float64(age)/float64(rejectsLife))
+	return rejectPrice * s.load.Rejects * math.Exp(-float64(age)/float64(rejectsDecay))
 }
