--- a/internal/traffic/coldstart/guard.go
+++ b/internal/traffic/coldstart/guard.go
@@ -1,16 +1,15 @@
-// Package coldstart holds what a worker is sent to the rate that it bears while it is
-// cold: for some seconds after its start a worker falls over when it gets more. It is
-// pure: the caller passes the time.
+// Package coldstart limits the rate of requests to a cold worker: for some seconds after its
+// start a worker crashes under a higher load. The package is pure: the caller passes the time.
 //
-// The node beside a worker is the one place that every request to it passes, so the rate
-// is kept here, and no other node has to know it. A node that has just started, or that
-// has not heard its worker for a while, can't know whether the worker has started anew
-// meanwhile. It takes it for cold until the worker's health answer says otherwise.
+// Every request to a worker passes through the worker's node, so the rate is limited there
+// and other nodes need not know it. A node that has just started, or whose worker has not
+// responded for a while, cannot know whether the worker has restarted. It assumes a cold
+// worker until the response to a health check shows otherwise.
 //
-// Ways weighed: a bucket with the whole bound of a second as its burst (spends it in the
-// first milliseconds, when the worker is coldest); an even spacing without any burst
-// (refuses one of two requests that come together); a rate that grows with the time that
-// the worker has been up (what a worker bears is told as one number until it is warm).
+// Alternatives considered: a token bucket with a burst of a whole second's requests (the burst
+// is spent in the first milliseconds, when the worker is coldest); even spacing without a
+// burst (rejects one of two concurrent requests); a rate that grows with the worker's uptime
+// (the capacity of a cold worker is declared as one number for the whole cold start).
 package coldstart
 
 import (
@@ -22,61 +21,61 @@
 )
 
 const (
-	// burstShare is the part of a second's requests that may go out at once where no slack
-	// is declared. In any second a cold worker so gets at most 1.2 times its rate.
+	// burstShare is the burst as a share of the requests per second, where no larger slack
+	// is declared. In any second a cold worker thus gets at most 1.2 times its rate.
 	burstShare = 0.2
-	// Parts of the slack that is allowed beside the rate: what may go out at once, and what
-	// goes out evenly. The rest, 2 of 8 requests, is left for those that a node whose share
-	// of its processor is spent sends up to a tenth of a second late. 22.5 requests a second
-	// in place of 19.5, the same worker's rate without this part, left 3.7 % of the requests
-	// of a day unserved on which all nodes lose power once, in place of 3.9 %.
+	// slackAtOnce and slackEvenly divide the declared slack: the first part is added to the
+	// burst, the second to the rate. The rest, 2 of 8 requests, covers requests that a node
+	// sends up to 100 ms late when its CPU quota is used up. With the second part, 22.5
+	// instead of 19.5 requests per second, 3.7 % instead of 3.9 % of a day's requests were
+	// left unserved when all nodes lost power once that day.
 	slackAtOnce = 0.375
 	slackEvenly = 0.375
-	// unheardFor is for how long a worker may say nothing and is still known to be as it
-	// was: a worker that starts anew is away for longer.
-	unheardFor = time.Second
-	// probeEvery is the least time between two questions to a worker's health endpoint.
-	probeEvery = 300 * time.Millisecond
+	// unresponsiveAfter is the time without a response after which a worker may have
+	// restarted; a restart takes longer.
+	unresponsiveAfter = time.Second
+	// probeInterval is the minimum time between two health checks of a worker.
+	probeInterval = 300 * time.Millisecond
 )
 
-// Bound is how a service's workers are while they are cold.
+// Bound declares the limits of a service's cold workers.
 type Bound struct {
-	PerSecond float64       // requests that one is declared to bear; 0: any number
-	Overage   float64       // times that rate that one may be sent; 0: once
-	Slack     float64       // requests beside, within any second
-	Lasts     time.Duration // after the start of a worker
+	PerSecond float64       // declared capacity in requests per second; 0: unlimited
+	Overage   float64       // factor of the declared capacity that may be sent; below 1 counts as 1
+	Slack     float64       // additional requests allowed in any second
+	Lasts     time.Duration // duration of a cold start
 }
 
-// rate is the number of requests a second that a cold worker is sent. What the operator
-// allows beyond the declared rate is used: after a loss of all power, all workers are cold,
-// and each request a second more is one that a caller gets served.
+// rate is the rate of requests per second to a cold worker. It makes full use of the
+// overage and slack that the operator allows: after a power loss of all nodes all workers
+// are cold, and each additional request per second is one more that is served.
 func (b Bound) rate() float64 { return b.PerSecond*max(1, b.Overage) + slackEvenly*b.Slack }
 
-// burst is the number of requests that may go out at once.
+// burst is the number of requests that may be sent at once, at least 1.
 func (b Bound) burst() int {
 	return max(1, int(max(burstShare*b.PerSecond, slackAtOnce*b.Slack)))
 }
 
-// Guard is what a node knows of how cold its worker is. It is not safe for use by
-// several goroutines at once. The zero Guard lets everything pass.
+// Guard limits the requests to a worker while it is cold. The zero Guard does not limit. It
+// is not safe for concurrent use.
 type Guard struct {
-	bound     Bound
-	limiter   *rate.Limiter
-	coldUntil time.Time
-	asking    bool      // whether the worker may have started anew, and its health was not told since
-	heard     time.Time // when the worker last answered
-	probed    time.Time // when its health was last asked for
-	booked    closing.Bookings
-}
-
-// reserveShare is the part of the burst that is left to urgent requests: while they come
-// faster than the worker bears, others get nothing, and else what is left. Served as they
-// came, after a loss of all power orders were refused for look-ups whose price checks were
-// refused in turn. The rest is divided so that of the others each leaves something to those
-// that go before it.
+	bound        Bound
+	limiter      *rate.Limiter
+	coldUntil    time.Time
+	probeNeeded  bool      // whether the worker may have restarted and has not reported its health since
+	lastResponse time.Time // last response of the worker
+	lastProbe    time.Time // last health check
+	pauses       closing.Bookings
+}
+
+// reserveShare is the part of the burst that is reserved for urgent requests. Others get
+// only what these leave over, and nothing while urgent requests alone exceed the rate. When
+// all were served in order of arrival, after a power loss of all nodes, orders were
+// rejected in favour of look-ups whose nested price checks were then rejected too. The rest
+// of the burst is divided so that each lower urgency leaves a part to those above it.
 const reserveShare = 0.5
 
-// reserve is the part of the burst that requests of an urgency leave to others.
+// reserve is the part of the burst that requests of an urgency leave to more urgent ones.
 func reserve(urgency closing.Urgency) float64 {
 	if urgency == closing.Urgent {
 		return 0
@@ -84,7 +83,7 @@
 	return reserveShare + (1-reserveShare)*float64(urgency-closing.Patient)/float64(closing.Urgencies-1)
 }
 
-// Bind sets how the worker is while it is cold.
+// Bind sets the limits of the worker. A change discards all state.
 func (g *Guard) Bind(bound Bound) {
 	if bound == g.bound {
 		return
@@ -95,55 +94,58 @@
 	}
 }
 
-// Started tells that the worker may have started just now.
+// Started reports that the worker may have just started: it counts as cold and a health
+// check is due.
 func (g *Guard) Started(now time.Time) {
-	g.asking = true
+	g.probeNeeded = true
 	g.Cold(g.bound.Lasts, now)
 }
 
-// Doubt tells that the worker may have started anew, but shows no other sign of it: its
-// health is asked for, and until then it gets as much as before.
-func (g *Guard) Doubt() { g.asking = true }
+// Doubt reports a weak indication that the worker may have restarted: a health check is
+// due, but the worker is not limited until its result.
+func (g *Guard) Doubt() { g.probeNeeded = true }
 
-// Cold tells that the worker may stay cold for so long.
+// Cold reports that the worker may stay cold for the given time. It never shortens the cold
+// start.
 func (g *Guard) Cold(remaining time.Duration, now time.Time) {
 	if until := now.Add(remaining); until.After(g.coldUntil) {
 		g.coldUntil = until
 	}
 }
 
-// Heard tells that the worker has answered a request.
-func (g *Guard) Heard(now time.Time) { g.heard = now }
+// Heard records that the worker has responded to a request.
+func (g *Guard) Heard(now time.Time) { g.lastResponse = now }
 
-// Probed tells what the worker's health answer said: for how long it stays cold.
+// Probed records the result of a health check: the time for which the worker stays cold, 0
+// if it is warm.
 func (g *Guard) Probed(remaining time.Duration, now time.Time) {
-	g.asking = false
-	g.heard = now
+	g.probeNeeded = false
+	g.lastResponse = now
 	g.coldUntil = now.Add(remaining)
 }
 
-// ProbeDue reports whether the worker's health is to be asked for before a request that
-// comes now, and notes that it is.
+// ProbeDue reports whether a health check is due before a request that arrives now, and if
+// so records it as started.
 func (g *Guard) ProbeDue(now time.Time) bool {
 	if g.bound.PerSecond <= 0 {
 		return false
 	}
-	if now.Sub(g.heard) > unheardFor {
+	if now.Sub(g.lastResponse) > unresponsiveAfter {
 		g.Started(now)
 	}
-	if !g.asking || now.Sub(g.probed) < probeEvery {
+	if !g.probeNeeded || now.Sub(g.lastProbe) < probeInterval {
 		return false
 	}
-	g.probed = now
+	g.lastProbe = now
 	return true
 }
 
-// Limits reports whether the worker gets no more than a cold one bears.
+// Limits reports whether the worker counts as cold and is limited.
 func (g *Guard) Limits(now time.Time) bool {
 	return g.bound.PerSecond > 0 && now.Before(g.coldUntil)
 }
 
-// ColdFor is for how long the worker gets no more than a cold one bears.
+// ColdFor is the time for which the worker remains limited, 0 if it is not.
 func (g *Guard) ColdFor(now time.Time) time.Duration {
 	if !g.Limits(now) {
 		return 0
@@ -151,27 +153,28 @@
 	return g.coldUntil.Sub(now)
 }
 
-// Open reports whether a request that comes now may pass. One that may not is booked
-// behind the ones that were refused before it: see Closed.
+// Open reports whether a request that arrives now may pass, without counting it. A rejected
+// request extends the time that Closed returns.
 func (g *Guard) Open(urgency closing.Urgency, now time.Time) bool {
-	if g.has(urgency, now) {
+	if g.allows(urgency, now) {
 		return true
 	}
-	g.book(urgency, now)
+	g.recordRejection(urgency, now)
 	return false
 }
 
-// Take lets a request pass, or reports false. It is asked just before the request is sent.
+// Take counts a request and reports whether it may pass. It must be called just before the
+// request is sent. A rejected request extends the time that Closed returns.
 func (g *Guard) Take(urgency closing.Urgency, now time.Time) bool {
-	if !g.Limits(now) || g.has(urgency, now) && g.limiter.AllowN(now, 1) {
+	if !g.Limits(now) || g.allows(urgency, now) && g.limiter.AllowN(now, 1) {
 		return true
 	}
-	g.book(urgency, now)
+	g.recordRejection(urgency, now)
 	return false
 }
 
-// has reports whether a request would pass now.
-func (g *Guard) has(urgency closing.Urgency, now time.Time) bool {
+// allows reports whether a request would pass now.
+func (g *Guard) allows(urgency closing.Urgency, now time.Time) bool {
 	if !g.Limits(now) {
 		return true
 	}
@@ -179,18 +182,18 @@
 	return g.limiter.TokensAt(now) >= needed
 }
 
-// book notes one more caller that is to stay away.
-func (g *Guard) book(urgency closing.Urgency, now time.Time) {
+// recordRejection records a rejected request.
+func (g *Guard) recordRejection(urgency closing.Urgency, now time.Time) {
 	interval := time.Duration(float64(time.Second) / g.bound.rate())
-	g.booked.Book(urgency, interval, now)
+	g.pauses.Book(urgency, interval, now)
 }
 
-// Closed is for how long the node that is answered now is not to ask again for requests of
-// an urgency: callers come back one behind the other, as fast as the worker may be sent
-// requests, so that few of them ask in vain.
+// Closed is the time for which the node that gets this response must send no more requests
+// of an urgency. Each rejected request extends it by the time that the worker needs for
+// one, so that callers retry one after the other and few of them are rejected again.
 func (g *Guard) Closed(urgency closing.Urgency, now time.Time) time.Duration {
 	if !g.Limits(now) {
 		return 0
 	}
-	return g.booked.Left(urgency, now)
+	return g.pauses.Left(urgency, now)
 }
--- a/internal/traffic/coldstart/guard_test.go
+++ b/internal/traffic/coldstart/guard_test.go
@@ -14,20 +14,21 @@
 
 var bound = Bound{PerSecond: 13, Lasts: 3 * time.Second}
 
-// most is what a worker of that bound bears in any second, its burst included.
-const most = 16
+// maxPerSecond is the largest number of requests in any second that a worker with this
+// bound can handle, the burst included.
+const maxPerSecond = 16
 
-func newGuard(now time.Time) *Guard { return guardOf(bound, now) }
+func newGuard(now time.Time) *Guard { return newGuardWith(bound, now) }
 
-func guardOf(bound Bound, now time.Time) *Guard {
+func newGuardWith(bound Bound, now time.Time) *Guard {
 	guard := &Guard{}
 	guard.Bind(bound)
 	guard.Started(now)
 	return guard
 }
 
-// mostInASecond returns the most of the times that any second holds.
-func mostInASecond(passed []time.Time) int {
+// maxInOneSecond returns the largest number of the times that lie within one second.
+func maxInOneSecond(passed []time.Time) int {
 	largest, first := 0, 0
 	for index, at := range passed {
 		for at.Sub(passed[first]) > time.Second {
@@ -38,46 +39,48 @@
 	return largest
 }
 
-// However requests come, a cold worker gets no more in any second than it bears.
-func TestColdWorkerGetsWhatItBears(t *testing.T) {
+// Under a flood of random requests, a cold worker gets at most its declared burst and rate
+// in any second, but nearly all of that.
+func TestColdWorkerRateIsLimitedAndUsed(t *testing.T) {
 	guard, passed := flood(bound)
-	must.LessEq(t, most, mostInASecond(passed))
-	must.GreaterEq(t, 36, len(passed)) // of 39: it gets its share, too
+	must.LessEq(t, maxPerSecond, maxInOneSecond(passed))
+	must.GreaterEq(t, 36, len(passed)) // of 39: the rate is used
 	must.True(t, guard.Open(closing.Urgent, start.Add(bound.Lasts)))
 }
 
-// What the operator allows beyond the declared rate is used: 13 x 1.5 + 8 is 27.5 in any
-// second, also when the node's processor holds requests up for a tenth of a second and then
-// sends all at once.
-func TestOverageAndSlackAreUsed(t *testing.T) {
-	wide := bound
-	wide.Overage, wide.Slack = 1.5, 8
-	_, passed := flood(wide)
-	must.LessEq(t, 25, mostInASecond(passed))
+// Overage and slack are used but not exceeded: 13 x 1.5 + 8 = 27.5 requests in any second,
+// also when the node's CPU quota delays requests for up to 100 ms and then sends them all
+// at once.
+func TestOverageAndSlackAreUsedAndNotExceeded(t *testing.T) {
+	relaxed := bound
+	relaxed.Overage, relaxed.Slack = 1.5, 8
+	_, passed := flood(relaxed)
+	must.LessEq(t, 25, maxInOneSecond(passed))
 	must.GreaterEq(t, 65, len(passed))
-	const heldUp = 84 * time.Millisecond // of each 100, at a share of 0.16
+	const stalled = 84 * time.Millisecond // of each 100 ms, at a CPU share of 0.16
 	for phase := time.Duration(0); phase < 100*time.Millisecond; phase += 5 * time.Millisecond {
-		must.LessEq(t, 27, mostInASecond(sentLate(passed, phase, heldUp)))
+		must.LessEq(t, 27, maxInOneSecond(sendTimes(passed, phase, stalled)))
 	}
 }
 
-// sentLate returns when requests are sent that a node passes while its processor stands
-// still for a part of each tenth of a second.
-func sentLate(passed []time.Time, phase, heldUp time.Duration) []time.Time {
+// sendTimes returns when requests that passed at the given times are sent if the node has
+// no CPU time for a part of each 100 ms.
+func sendTimes(passed []time.Time, phase, stalled time.Duration) []time.Time {
 	var sent []time.Time
 	for _, at := range passed {
-		if within := at.Add(phase).Sub(start) % (100 * time.Millisecond); within < heldUp {
-			at = at.Add(heldUp - within)
+		if within := at.Add(phase).Sub(start) % (100 * time.Millisecond); within < stalled {
+			at = at.Add(stalled - within)
 		}
 		sent = append(sent, at)
 	}
 	return sent
 }
 
-// flood sends a cold worker more than it bears, and returns when requests passed.
+// flood sends a cold worker more requests than it can handle and returns when requests
+// passed.
 func flood(bound Bound) (*Guard, []time.Time) {
 	random := rand.New(rand.NewPCG(1, 2))
-	guard := guardOf(bound, start)
+	guard := newGuardWith(bound, start)
 	var passed []time.Time
 	for now := start; now.Before(start.Add(bound.Lasts)); now = now.Add(time.Duration(random.ExpFloat64() * float64(3*time.Millisecond))) {
 		if guard.Open(closing.Urgent, now) && guard.Take(closing.Urgent, now) {
@@ -87,9 +90,9 @@
 	return guard, passed
 }
 
-// A node that has not heard its worker for a while takes it for cold until its health
-// says otherwise: the worker may have started anew.
-func TestUnheardWorkerIsTakenForCold(t *testing.T) {
+// A worker that has not responded for a while counts as cold until a health check shows
+// otherwise, since it may have restarted.
+func TestUnresponsiveWorkerCountsAsCold(t *testing.T) {
 	guard := newGuard(start)
 	guard.Probed(0, start)
 	guard.Heard(start.Add(500 * time.Millisecond))
@@ -98,14 +101,14 @@
 	later := start.Add(5 * time.Second)
 	must.True(t, guard.ProbeDue(later))
 	must.True(t, guard.Limits(later))
-	must.False(t, guard.ProbeDue(later.Add(time.Millisecond))) // one question at a time
+	must.False(t, guard.ProbeDue(later.Add(time.Millisecond))) // one health check at a time
 	guard.Probed(0, later)
 	must.False(t, guard.Limits(later))
 }
 
-// What the health answer says counts, be it longer or shorter than what was taken for
-// granted.
-func TestHealthAnswerCounts(t *testing.T) {
+// The reported remaining cold time replaces the assumed one, whether it is longer or
+// shorter.
+func TestHealthCheckSetsColdTime(t *testing.T) {
 	guard := newGuard(start)
 	guard.Probed(time.Second, start)
 	must.True(t, guard.Limits(start.Add(900*time.Millisecond)))
@@ -114,18 +117,19 @@
 	must.True(t, guard.Limits(start.Add(3900*time.Millisecond)))
 }
 
-// A doubt asks for the worker's health and holds nothing back until it is told.
-func TestDoubtHoldsNothingBack(t *testing.T) {
+// Doubt triggers a health check but limits nothing until its result.
+func TestDoubtDoesNotLimit(t *testing.T) {
 	guard := newGuard(start)
 	guard.Probed(0, start)
-	now := start.Add(probeEvery)
+	now := start.Add(probeInterval)
 	guard.Doubt()
 	must.True(t, guard.ProbeDue(now))
 	must.False(t, guard.Limits(now))
 }
 
-// Callers that were refused are told to come back one behind the other.
-func TestRefusedCallersComeBackInTurn(t *testing.T) {
+// Rejected callers are told to retry one after the other, at the rate of the worker, and
+// after at most closing.Most.
+func TestRejectedCallersRetryOneByOne(t *testing.T) {
 	guard := newGuard(start)
 	for guard.Open(closing.Urgent, start) && guard.Take(closing.Urgent, start) {
 	}
@@ -140,8 +144,8 @@
 	must.Eq(t, closing.Most, guard.Closed(closing.Urgent, start))
 }
 
-// A service that names no bound has none.
-func TestUnboundedWorkerIsNeverHeldBack(t *testing.T) {
+// A service that declares no bound is not limited.
+func TestUnboundedWorkerIsNotLimited(t *testing.T) {
 	guard := &Guard{}
 	guard.Bind(Bound{Lasts: time.Second})
 	guard.Started(start)
@@ -152,13 +156,13 @@
 	must.Zero(t, guard.Closed(closing.Urgent, start))
 }
 
-// While urgent requests come faster than the worker bears, others get next to nothing;
-// alone they get all.
-func TestUrgentRequestsGoFirst(t *testing.T) {
-	wide := bound
-	wide.Overage, wide.Slack = 1.5, 8
+// While urgent requests exceed the rate, others get almost nothing; without urgent requests
+// they get the whole rate.
+func TestUrgentRequestsGetTheRateFirst(t *testing.T) {
+	relaxed := bound
+	relaxed.Overage, relaxed.Slack = 1.5, 8
 	for _, mixed := range []bool{true, false} {
-		guard := guardOf(wide, start)
+		guard := newGuardWith(relaxed, start)
 		passed := map[closing.Urgency]int{}
 		for step := range 3000 {
 			now := start.Add(time.Duration(step) * time.Millisecond)
@@ -177,14 +181,14 @@
 	}
 }
 
-// Of any two urgencies that come together, the first gets what the worker bears; each gets
-// it alone.
-func TestUrgenciesGoInTheirOrder(t *testing.T) {
-	wide := bound
-	wide.Overage, wide.Slack = 1.5, 8
+// Of any two urgencies that compete, the higher one gets nearly the whole rate; either gets
+// it when alone.
+func TestHigherUrgencyGetsTheRateFirst(t *testing.T) {
+	relaxed := bound
+	relaxed.Overage, relaxed.Slack = 1.5, 8
 	for first := closing.Urgent; int(first) < closing.Urgencies; first++ {
 		for second := first; int(second) < closing.Urgencies; second++ {
-			guard := guardOf(wide, start)
+			guard := newGuardWith(relaxed, start)
 			passed := map[closing.Urgency]int{}
 			for step := range 3000 {
 				now := start.Add(time.Duration(step) * time.Millisecond)
