--- a/internal/traffic/workerlimit/limit.go
+++ b/internal/traffic/workerlimit/limit.go
@@ -1,6 +1,6 @@
-// Package workerlimit holds what is known of the limits that workers name in their answers:
-// how many requests a second a worker in need takes from all nodes together, for as long as
-// it says so. It is pure: the caller passes the time.
+// Package workerlimit tracks the limits that workers advertise in their responses: the
+// number of requests per second that a worker under pressure takes from all nodes together,
+// for as long as it advertises it. The package is pure: the caller passes the time.
 package workerlimit
 
 import (
@@ -8,57 +8,60 @@
 	"time"
 )
 
-// Limit is what the answers of one start of a worker have said. Answers come out of order,
-// over many connections. What one has said counts until an answer to a request comes that was
-// sent after it was heard: the worker said that later. Of what counts, the tightest is in
-// force. The zero Limit knows nothing. It is not safe for use by several goroutines at once.
+// Limit is the limit in force of one start of a worker, computed from its responses.
+// Responses arrive out of order, over many connections. An advertised value counts until a
+// response arrives to a request that was sent after the value was received, since the
+// worker wrote that response later. Of the values that count, the lowest is in force. The
+// zero Limit is unlimited. It is not safe for concurrent use.
 type Limit struct {
-	heard  []hearing // what counts, the tightest and oldest first: what is not tighter than a later one is left out
-	latest time.Time // when the latest request was sent that was answered
-	since  time.Time // when the worker first named a limit, since it had none
+	records []record  // values that count, lowest and oldest first; a value that is not lower than a later one is dropped
+	latest  time.Time // latest send time of a request that was responded to
+	since   time.Time // when the worker first advertised a limit after having had none
 }
 
-// hearing is what an answer said, and when it came.
-type hearing struct {
-	told Told
-	at   time.Time
+// record is an advertised value and the time at which it was received.
+type record struct {
+	value Told
+	at    time.Time
 }
 
-// Answered takes in what the answer to a request said that was sent to the worker at one
-// time and answered at another. It reports whether that changes what is in force.
-func (l *Limit) Answered(told Told, sent, now time.Time) bool {
+// Answered records the value in the response to a request that was sent at one time and
+// whose response arrived at another. It reports whether the limit in force changes.
+func (l *Limit) Answered(value Told, sent, now time.Time) bool {
 	before := l.InForce()
 	if sent.After(l.latest) {
 		l.latest = sent
 	}
-	l.heard = slices.DeleteFunc(l.heard, func(earlier hearing) bool {
-		return earlier.at.Before(l.latest) || !earlier.told.tighter(told)
+	l.records = slices.DeleteFunc(l.records, func(earlier record) bool {
+		return earlier.at.Before(l.latest) || !earlier.value.lowerThan(value)
 	})
-	l.heard = append(l.heard, hearing{told, now})
+	l.records = append(l.records, record{value, now})
 	if !before.Named {
 		l.since = now
 	}
 	return l.InForce() != before
 }
 
-// Adopt takes in what another node has heard of the worker, while this one has heard nothing:
-// it has started anew. It reports whether that changes what is in force.
-func (l *Limit) Adopt(told Told, now time.Time) bool {
-	if len(l.heard) > 0 || !told.Named {
+// Adopt records a limit that another node has received from the worker, if this node has
+// restarted and not received any response from the worker itself. It reports whether the
+// limit in force changes.
+func (l *Limit) Adopt(value Told, now time.Time) bool {
+	if len(l.records) > 0 || !value.Named {
 		return false
 	}
-	return l.Answered(told, now, now)
+	return l.Answered(value, now, now)
 }
 
-// InForce returns what the worker allows.
+// InForce returns the limit in force.
 func (l *Limit) InForce() Told {
-	if len(l.heard) == 0 {
+	if len(l.records) == 0 {
 		return Told{}
 	}
-	return l.heard[0].told
+	return l.records[0].value
 }
 
-// Since is when the worker first named the limit that it has; the zero time if it has none.
+// Since is when the worker first advertised a limit after having had none; the zero time if
+// no limit is in force.
 func (l *Limit) Since() time.Time {
 	if !l.InForce().Named {
 		return time.Time{}
--- a/internal/traffic/workerlimit/limit_test.go
+++ b/internal/traffic/workerlimit/limit_test.go
@@ -20,16 +20,16 @@
 
 func named(rate Rate) Told { return Told{Named: true, Rate: rate} }
 
-// A worker's limit is one decimal number that is not negative. All else names none.
+// A limit is one non-negative decimal number; all other texts are errors without a limit.
 func TestParse(t *testing.T) {
 	for text, wanted := range map[string]Rate{"0": 0, "7.5": 7.5, " 20 ": 20, "0.3": 0.3, ".5": 0.5, "300.": 300} {
-		told, err := Parse([]string{text})
+		value, err := Parse([]string{text})
 		must.NoError(t, err, must.Sprint(text))
-		must.Eq(t, named(wanted), told)
+		must.Eq(t, named(wanted), value)
 	}
-	told, err := Parse(nil)
+	value, err := Parse(nil)
 	must.NoError(t, err)
-	must.False(t, told.Named)
+	must.False(t, value.Named)
 	for _, text := range []string{"", " ", ".", "-1", "+1", "NaN", "Inf", "infinity", "7,5", "1e3", "0x10", "1_0", "7 5", "1.2.3", "٧", strings.Repeat("9", 400)} {
 		_, err := Parse([]string{text})
 		must.Error(t, err, must.Sprint(text))
@@ -43,34 +43,35 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		told, err := Parse([]string{text})
-		rate := float64(told.Rate)
-		if err == nil && (!told.Named || math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0) {
-			t.Fatalf("%q was read as %v", text, told)
+		value, err := Parse([]string{text})
+		rate := float64(value.Rate)
+		if err == nil && (!value.Named || math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0) {
+			t.Fatalf("%q was parsed as %v", text, value)
 		}
-		if err != nil && told != (Told{}) {
-			t.Fatalf("%q is no limit, but was read as %v", text, told)
+		if err != nil && value != (Told{}) {
+			t.Fatalf("%q is invalid, but was parsed as %v", text, value)
 		}
 	})
 }
 
-// An answer to a request that was sent before the worker named its limit does not lift it,
-// whenever it comes; one to a request sent later does.
-func TestLimitOutlastsEarlierRequests(t *testing.T) {
+// The response to a request that was sent before a limit was received does not lift or
+// raise that limit, whenever it arrives. The response to a later request does.
+func TestEarlierRequestsDoNotLiftLimit(t *testing.T) {
 	var limit Limit
 	must.True(t, limit.Answered(named(5), at(0), at(100)))
 	must.False(t, limit.Answered(Told{}, at(50), at(200)))
 	must.False(t, limit.Answered(named(20), at(99), at(110)))
 	must.Eq(t, named(5), limit.InForce())
 	must.True(t, limit.Answered(named(20), at(201), at(220)))
-	must.True(t, limit.Answered(named(5), at(10), at(230))) // lower: counts at once
+	must.True(t, limit.Answered(named(5), at(10), at(230))) // a lower limit applies at once
 	must.Eq(t, at(100), limit.Since())
 	must.True(t, limit.Answered(Told{}, at(231), at(300)))
 	must.True(t, limit.Since().IsZero())
 }
 
-// What another node has heard counts for one that has heard nothing itself.
-func TestAdopt(t *testing.T) {
+// A limit from another node is adopted only by a node that has received no response from
+// the worker itself.
+func TestAdoptOnlyWithoutOwnResponse(t *testing.T) {
 	var limit Limit
 	must.False(t, limit.Adopt(Told{}, at(0)))
 	must.True(t, limit.Adopt(named(3), at(1)))
@@ -79,44 +80,45 @@
 	must.False(t, limit.Adopt(named(3), at(5)))
 }
 
-// period is for how long the worker of TestAnswersOutOfOrder names the same.
+// period is a time for which the worker of TestLimitFromResponsesOutOfOrder advertises the
+// same value.
 type period struct {
-	told Told
-	ends int // milliseconds
+	value Told
+	ends  int // milliseconds
 }
 
-// Whatever the worker names and in whatever order its answers come: a limit that was heard
-// holds until an answer to a request comes that was sent after that; and once the worker has
-// said the same for as long as two answers take, that is in force.
-func TestAnswersOutOfOrder(t *testing.T) {
+// For random limits and orders of responses, a limit stays in force until a response
+// arrives to a request that was sent after it was received. Once the worker has advertised
+// the same value for the duration of two requests, that value is in force.
+func TestLimitFromResponsesOutOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const mostRun = 300
+		const maxRun = 300
 		periods, end := drawPeriods(t)
-		said := func(millisecond int) Told {
+		advertised := func(millisecond int) Told {
 			for _, each := range periods {
 				if millisecond < each.ends {
-					return each.told
+					return each.value
 				}
 			}
-			return periods[len(periods)-1].told
+			return periods[len(periods)-1].value
 		}
-		arrivals := drawAnswers(t, end, mostRun)
+		arrivals := drawResponses(t, end, maxRun)
 		var limit Limit
-		var heard []heardAt
+		var history []received
 		for now := range end {
-			for _, answer := range arrivals[now] {
-				told := said(answer.written)
-				limit.Answered(told, at(answer.sent), at(now))
-				heard = append(outdated(heard, answer.sent), heardAt{told, now})
+			for _, reply := range arrivals[now] {
+				value := advertised(reply.written)
+				limit.Answered(value, at(reply.sent), at(now))
+				history = append(withoutOutdated(history, reply.sent), received{value, now})
 			}
-			for _, each := range heard {
-				if looser := limit.InForce(); each.told.Named && (!looser.Named || looser.Rate > each.told.Rate) {
-					t.Fatalf("at %d ms %v is in force, %v was heard at %d ms and no answer since to a later request", now, looser, each.told, each.at)
+			for _, each := range history {
+				if inForce := limit.InForce(); each.value.Named && (!inForce.Named || inForce.Rate > each.value.Rate) {
+					t.Fatalf("at %d ms %v is in force although %v was received at %d ms, without a response since to a later request", now, inForce, each.value, each.at)
 				}
 			}
-			settled := now >= 2*mostRun && steady(said, now-2*mostRun, now)
-			if settled && busy(arrivals, now-2*mostRun, now) && limit.InForce() != said(now) {
-				t.Fatalf("at %d ms %v is in force, the worker names %v", now, limit.InForce(), said(now))
+			settled := now >= 2*maxRun && steady(advertised, now-2*maxRun, now)
+			if settled && hasLaterResponse(arrivals, now-2*maxRun, now) && limit.InForce() != advertised(now) {
+				t.Fatalf("at %d ms %v is in force, but the worker advertises %v", now, limit.InForce(), advertised(now))
 			}
 		}
 	})
@@ -125,60 +127,62 @@
 func drawPeriods(t *rapid.T) (periods []period, end int) {
 	for range rapid.IntRange(1, 5).Draw(t, "periods") {
 		end += rapid.IntRange(100, 2000).Draw(t, "length")
-		told := Told{Named: rapid.Bool().Draw(t, "named")}
-		if told.Named {
-			told.Rate = Rate(rapid.IntRange(0, 20).Draw(t, "rate"))
+		value := Told{Named: rapid.Bool().Draw(t, "named")}
+		if value.Named {
+			value.Rate = Rate(rapid.IntRange(0, 20).Draw(t, "rate"))
 		}
-		periods = append(periods, period{told, end})
+		periods = append(periods, period{value, end})
 	}
 	return periods, end
 }
 
-// written is an answer by the times of its request and of its head.
-type written struct{ sent, written int }
+// response holds the times at which a request was sent and the head of its response
+// written.
+type response struct{ sent, written int }
 
-// drawAnswers returns answers by the millisecond at which they arrive.
-func drawAnswers(t *rapid.T, end, mostRun int) [][]written {
-	arrivals := make([][]written, end)
+// drawResponses returns responses by the millisecond of their arrival.
+func drawResponses(t *rapid.T, end, maxRun int) [][]response {
+	arrivals := make([][]response, end)
 	gap := rapid.IntRange(1, 40).Draw(t, "gap")
 	for sent := 0; sent < end; sent += gap {
-		head := sent + rapid.IntRange(0, mostRun-1).Draw(t, "run")
-		arrives := rapid.IntRange(head, sent+mostRun-1).Draw(t, "arrives")
+		head := sent + rapid.IntRange(0, maxRun-1).Draw(t, "run")
+		arrives := rapid.IntRange(head, sent+maxRun-1).Draw(t, "arrives")
 		if arrives < end {
-			arrivals[arrives] = append(arrivals[arrives], written{sent, head})
+			arrivals[arrives] = append(arrivals[arrives], response{sent, head})
 		}
 	}
 	return arrivals
 }
 
-// heardAt is what an answer said, and at which millisecond it came.
-type heardAt struct {
-	told Told
-	at   int
+// received is an advertised value and the millisecond at which it was received.
+type received struct {
+	value Told
+	at    int
 }
 
-// outdated leaves out what was heard before a request was sent that has been answered.
-func outdated(heard []heardAt, sent int) []heardAt {
-	return slices.DeleteFunc(heard, func(each heardAt) bool { return each.at < sent })
+// withoutOutdated drops the values received before a request was sent that has been
+// responded to.
+func withoutOutdated(history []received, sent int) []received {
+	return slices.DeleteFunc(history, func(each received) bool { return each.at < sent })
 }
 
-// steady reports whether the worker said the same all the time.
-func steady(said func(int) Told, from, to int) bool {
+// steady reports whether the worker advertised the same value in the whole interval.
+func steady(advertised func(int) Told, from, to int) bool {
 	for millisecond := from; millisecond <= to; millisecond++ {
-		if said(millisecond) != said(to) {
+		if advertised(millisecond) != advertised(to) {
 			return false
 		}
 	}
 	return true
 }
 
-// busy reports whether an answer has come to a request that was sent after each answer that
-// was written before.
-func busy(arrivals [][]written, from, to int) bool {
-	const mostRun = 300
-	for millisecond := from + mostRun; millisecond <= to; millisecond++ {
-		for _, answer := range arrivals[millisecond] {
-			if answer.sent >= from+mostRun {
+// hasLaterResponse reports whether, within the interval, a response arrived to a request
+// that was sent after all responses written before the interval had arrived.
+func hasLaterResponse(arrivals [][]response, from, to int) bool {
+	const maxRun = 300
+	for millisecond := from + maxRun; millisecond <= to; millisecond++ {
+		for _, reply := range arrivals[millisecond] {
+			if reply.sent >= from+maxRun {
 				return true
 			}
 		}
@@ -186,7 +190,7 @@
 	return false
 }
 
-func TestSentCountsTheLastSeconds(t *testing.T) {
+func TestSentCountsWithinWindow(t *testing.T) {
 	var sent Sent
 	for second := range 20 {
 		sent.Add(start.Add(time.Duration(second) * time.Second))
--- a/internal/traffic/workerlimit/parse.go
+++ b/internal/traffic/workerlimit/parse.go
@@ -7,46 +7,46 @@
 	"sliphead/internal/fault"
 )
 
-// Rate is how many requests a second a worker takes from all nodes together.
+// Rate is a number of requests per second from all nodes together.
 type Rate float64
 
-// Told is what one answer of a worker says of its limit.
+// Told is the limit that one response of a worker advertises.
 type Told struct {
-	Named bool // whether it names one; otherwise the worker has none
+	Named bool // whether there is a limit
 	Rate  Rate
 }
 
-// tighter reports whether an answer allows less than another one.
-func (t Told) tighter(than Told) bool {
-	return t.Named && (!than.Named || t.Rate < than.Rate)
+// lowerThan reports whether a value allows less than another one.
+func (t Told) lowerThan(other Told) bool {
+	return t.Named && (!other.Named || t.Rate < other.Rate)
 }
 
-// mostDigits bounds a limit's text: none that a worker means is longer.
-const mostDigits = 20
+// maxDigits bounds the length of a limit's text; workers need no longer ones.
+const maxDigits = 20
 
-// Parse reads the values of the header in which a worker names its limit: one decimal number
-// that is not negative, such as 7.5. What can't be read is an error of kind fault.Worker, and
-// says nothing of the limit.
+// Parse reads the values of the header in which a worker advertises its limit: one
+// non-negative decimal number, such as 7.5. No value means no limit. Other values give an
+// error of kind fault.Worker and must not change the limit.
 func Parse(values []string) (Told, error) {
-	const remedy = "let the worker name its limit once an answer, as a decimal number of requests a second such as 7.5"
+	const remedy = "make the worker send its limit once per response, as a decimal number of requests per second such as 7.5"
 	if len(values) == 0 {
 		return Told{}, nil
 	}
 	text := strings.TrimSpace(values[0])
 	if len(values) > 1 || !isDecimal(text) {
-		const shown = 40 // bytes of what the worker said
-		return Told{}, fault.New(fault.Worker, remedy, "%.*q in %d values is no limit", shown, text, len(values))
+		const shown = 40 // bytes of the value in the error message
+		return Told{}, fault.New(fault.Worker, remedy, "invalid worker limit %.*q in %d header values", shown, text, len(values))
 	}
 	rate, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return Told{}, fault.Wrap(err, fault.Worker, remedy, "%q is no limit", text)
+		return Told{}, fault.Wrap(err, fault.Worker, remedy, "invalid worker limit %q", text)
 	}
 	return Told{Named: true, Rate: Rate(rate)}, nil
 }
 
-// isDecimal reports whether a text is digits with at most one point among or beside them.
+// isDecimal reports whether a text consists of digits and at most one decimal point.
 func isDecimal(text string) bool {
-	if len(text) > mostDigits {
+	if len(text) > maxDigits {
 		return false
 	}
 	digits, points := 0, 0
@@ -63,5 +63,5 @@
 	return digits > 0 && points <= 1
 }
 
-// String writes the rate as workers do.
+// String formats the rate as workers do in the header.
 func (r Rate) String() string { return strconv.FormatFloat(float64(r), 'f', -1, 64) }
