--- a/internal/traffic/retryafter/retryafter.go
+++ b/internal/traffic/retryafter/retryafter.go
@@ -1,10 +1,10 @@
-// Package retryafter tells when a refused request is to come back. It is pure: the caller
-// passes the time.
+// Package retryafter computes when the caller of a rejected request should retry. It is pure:
+// the caller passes the time.
 //
-// A caller comes back once at most, so a second refusal is its last. Two things follow:
-// a request that has come back may be answered late, and callers come back one behind
-// the other, as fast as the service answers this node, so that they don't meet the
-// overload of which they were refused all at once.
+// A caller retries at most once, so a second rejection is final. Therefore a retried request
+// may get a late response, and retries are spread out at the rate at which the service
+// responds to this node, so that they do not all arrive at once in the overload that caused
+// the rejections.
 package retryafter
 
 import (
@@ -12,84 +12,87 @@
 	"time"
 )
 
-// Schedule spreads the returns of one node's refused requests over what one service
-// answers.
+// Schedule spreads the retries of one node's rejected requests over the capacity of one
+// service. It is not safe for concurrent use.
 type Schedule struct {
-	answers float64   // in the last rateMemory, older ones fading
-	counted time.Time // when answers was brought up to date
-	turns   []turn    // by priority
+	responses   float64     // in the last rateWindow, with decay
+	updated     time.Time   // when responses was last decayed
+	nextRetries []nextRetry // by priority
 }
 
-// turn is when the next refused request of a priority may come back.
-type turn struct {
+// nextRetry is the earliest time at which the next rejected request of a priority may
+// retry.
+type nextRetry struct {
 	priority int
-	next     time.Time
+	at       time.Time
 }
 
-// rateMemory is over how long the rate of answers is taken. Bursts last a few seconds.
-const rateMemory = time.Second
+// rateWindow is the time over which the rate of responses is measured. Bursts last a few
+// seconds.
+const rateWindow = time.Second
 
-// Answered notes an answer of the service.
+// Answered records a response of the service.
 func (s *Schedule) Answered(now time.Time) {
-	s.fade(now)
-	s.answers++
+	s.decay(now)
+	s.responses++
 }
 
-// fade lets older answers count less.
-func (s *Schedule) fade(now time.Time) {
-	passed := now.Sub(s.counted)
-	s.counted = now
-	if passed >= rateMemory {
-		s.answers = 0
+// decay reduces the weight of older responses.
+func (s *Schedule) decay(now time.Time) {
+	passed := now.Sub(s.updated)
+	s.updated = now
+	if passed >= rateWindow {
+		s.responses = 0
 		return
 	}
-	s.answers *= 1 - float64(passed)/float64(rateMemory)
+	s.responses *= 1 - float64(passed)/float64(rateWindow)
 }
 
-// interval is the time between two answers of the service. Without any, callers come
-// back a memory apart.
+// interval is the average time between two responses of the service, rateWindow if there
+// were none.
 func (s *Schedule) interval(now time.Time) time.Duration {
-	s.fade(now)
-	return time.Duration(float64(rateMemory) / max(1, s.answers))
+	s.decay(now)
+	return time.Duration(float64(rateWindow) / max(1, s.responses))
 }
 
-// Book returns after how long a refused request is to come back: not before the wait
-// that the service's nodes foresee, behind the ones of its priority and of higher ones
-// that were refused before it, and not later than most. Of priorities 0 is the highest.
-func (s *Schedule) Book(priority int, foreseen, most time.Duration, now time.Time) time.Duration {
+// Book returns the delay after which a rejected request should retry: at least the wait
+// that the service's nodes expect, after the previously rejected requests of its own and
+// higher priorities, and at most maxDelay. Priority 0 is the highest.
+func (s *Schedule) Book(priority int, expectedWait, maxDelay time.Duration, now time.Time) time.Duration {
 	at := s.after(priority)
-	if earliest := now.Add(foreseen); at.Before(earliest) {
+	if earliest := now.Add(expectedWait); at.Before(earliest) {
 		at = earliest
 	}
-	latest := now.Add(most)
+	latest := now.Add(maxDelay)
 	if at.After(latest) {
-		return most // nobody comes later, and the schedule does not grow without bound
+		return maxDelay // no retry comes later, and the schedule stays bounded
 	}
-	s.turns = slices.DeleteFunc(s.turns, func(held turn) bool { return held.next.Before(now) })
-	s.take(priority, at, s.interval(now), latest)
+	s.nextRetries = slices.DeleteFunc(s.nextRetries, func(retry nextRetry) bool { return retry.at.Before(now) })
+	s.reserve(priority, at, s.interval(now), latest)
 	return at.Sub(now)
 }
 
-// after returns when the last request of the priority and of higher ones has had its turn.
+// after returns the earliest time for a retry that follows all scheduled ones of the
+// priority and of higher ones.
 func (s *Schedule) after(priority int) time.Time {
 	var latest time.Time
-	for _, held := range s.turns {
-		if held.priority <= priority && held.next.After(latest) {
-			latest = held.next
+	for _, retry := range s.nextRetries {
+		if retry.priority <= priority && retry.at.After(latest) {
+			latest = retry.at
 		}
 	}
 	return latest
 }
 
-// take notes a request that comes back then: the next of its priority comes an interval
-// later, and so do those of lower ones that are to come yet, up to the latest.
-func (s *Schedule) take(priority int, at time.Time, interval time.Duration, latest time.Time) {
-	s.turns = slices.DeleteFunc(s.turns, func(held turn) bool { return held.priority == priority })
-	for index := range s.turns {
-		held := &s.turns[index]
-		if later := held.next.Add(interval); held.priority > priority && !later.After(latest) {
-			held.next = later
+// reserve schedules a retry: the next one of its priority follows an interval later, and
+// pending ones of lower priorities are delayed by an interval, up to the latest time.
+func (s *Schedule) reserve(priority int, at time.Time, interval time.Duration, latest time.Time) {
+	s.nextRetries = slices.DeleteFunc(s.nextRetries, func(retry nextRetry) bool { return retry.priority == priority })
+	for index := range s.nextRetries {
+		retry := &s.nextRetries[index]
+		if later := retry.at.Add(interval); retry.priority > priority && !later.After(latest) {
+			retry.at = later
 		}
 	}
-	s.turns = append(s.turns, turn{priority, at.Add(interval)})
+	s.nextRetries = append(s.nextRetries, nextRetry{priority, at.Add(interval)})
 }
--- a/internal/traffic/retryafter/retryafter_test.go
+++ b/internal/traffic/retryafter/retryafter_test.go
@@ -12,31 +12,31 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// Refused callers come back one behind the other, as fast as the service answers.
-func TestReturnsAreSpread(t *testing.T) {
+// Rejected callers retry one after the other, at the rate at which the service responds.
+func TestRetriesAreSpread(t *testing.T) {
 	var schedule Schedule
-	for answer := range 20 {
-		schedule.Answered(start.Add(time.Duration(answer) * 50 * time.Millisecond))
+	for index := range 20 {
+		schedule.Answered(start.Add(time.Duration(index) * 50 * time.Millisecond))
 	}
 	now := start.Add(time.Second)
-	const foreseen, most = 30 * time.Millisecond, 400 * time.Millisecond
-	told := []time.Duration{}
+	const expectedWait, maxDelay = 30 * time.Millisecond, 400 * time.Millisecond
+	delays := []time.Duration{}
 	for range 8 {
-		told = append(told, schedule.Book(0, foreseen, most, now))
+		delays = append(delays, schedule.Book(0, expectedWait, maxDelay, now))
 	}
-	must.Eq(t, foreseen, told[0])
-	must.True(t, slices.IsSorted(told))
-	must.Greater(t, 40*time.Millisecond, told[1]-told[0])
-	must.Less(t, 120*time.Millisecond, told[1]-told[0])
-	must.Eq(t, most, told[7])
-	must.Eq(t, foreseen, schedule.Book(0, foreseen, most, now.Add(5*time.Second)))
+	must.Eq(t, expectedWait, delays[0])
+	must.True(t, slices.IsSorted(delays))
+	must.Greater(t, 40*time.Millisecond, delays[1]-delays[0])
+	must.Less(t, 120*time.Millisecond, delays[1]-delays[0])
+	must.Eq(t, maxDelay, delays[7])
+	must.Eq(t, expectedWait, schedule.Book(0, expectedWait, maxDelay, now.Add(5*time.Second)))
 }
 
-// An overload of three seconds, a third beyond what the slots serve. What is too much
-// can't be served, but for what outlasts the overload: callers that come back one behind
-// the other, and may be answered late, are lost less often than those that come back at
-// once. In exchange a few more are answered late: a twentieth at most.
-func TestOverloadServesMoreOfThoseThatComeBack(t *testing.T) {
+// In an overload of three seconds, a third beyond the capacity of the slots, callers whose
+// retries are spread and may get a late response are lost less often than those that retry
+// at once. In exchange a few more responses are late: 5 % at most. The excess can be served
+// only as far as it outlasts the overload.
+func TestSpreadRetriesLoseFewerCallersInOverload(t *testing.T) {
 	atOnce := overload(false)
 	spread := overload(true)
 	t.Logf("at once %+v, spread %+v", atOnce, spread)
@@ -45,12 +45,12 @@
 	must.Greater(t, atOnce.inTime+atOnce.late, spread.inTime+spread.late)
 }
 
-// endings counts callers by how they fared.
-type endings struct{ inTime, late, lost int }
+// outcomes counts callers by outcome.
+type outcomes struct{ inTime, late, lost int }
 
 type caller struct {
 	first, deadline time.Time
-	returned        bool
+	retried         bool
 }
 
 type running struct {
@@ -58,9 +58,9 @@
 	ends   time.Time
 }
 
-// overload returns how callers fare whose returns are spread, or come at once and are
-// treated like new ones.
-func overload(spread bool) endings {
+// overload returns the outcomes of callers whose retries are spread, or come at once and
+// are treated like new requests.
+func overload(spread bool) outcomes {
 	const (
 		objective  = 400 * time.Millisecond
 		callerTime = 1200 * time.Millisecond
@@ -71,8 +71,8 @@
 	queue := admission.New[*caller](admission.Settings{Slots: slots, Length: 512})
 	var schedule Schedule
 	var busy []running
-	waiting := map[time.Time][]*caller{} // callers by when they come
-	var ended endings
+	waiting := map[time.Time][]*caller{} // callers by the time of their retry
+	var ended outcomes
 	credit := 0.0
 	for passed := time.Duration(0); passed < 8*time.Second; passed += step {
 		now := start.Add(passed)
@@ -95,7 +95,7 @@
 		})
 		for _, each := range coming {
 			arrival := admission.Arrival[*caller]{Class: admission.Batch, Deadline: now.Add(objective), Waiter: each}
-			if spread && each.returned {
+			if spread && each.retried {
 				arrival.Last = each.deadline
 			}
 			ticket, others := queue.Take(arrival, now)
@@ -111,10 +111,10 @@
 				} else {
 					ended.late++
 				}
-			case ticket.Verdict == admission.Refused && each.returned:
+			case ticket.Verdict == admission.Refused && each.retried:
 				ended.lost++
 			case ticket.Verdict == admission.Refused:
-				each.returned = true
+				each.retried = true
 				wait := 20 * time.Millisecond
 				if spread {
 					wait = schedule.Book(0, wait, each.deadline.Sub(now)/3, now)
@@ -127,9 +127,9 @@
 	return ended
 }
 
-// Callers of a tenant of higher priority come back before those of a lower one that were
-// refused earlier and are told nothing yet; the lower ones come behind them.
-func TestReturnsByPriority(t *testing.T) {
+// A rejected caller of a higher priority is not delayed by earlier rejections of a lower
+// priority; later rejections of a lower priority are scheduled behind it.
+func TestRetriesAreOrderedByPriority(t *testing.T) {
 	now := time.Unix(1000, 0)
 	schedule := Schedule{}
 	const apart = 100 * time.Millisecond
@@ -149,5 +149,5 @@
 	}
 	now = now.Add(2 * time.Second)
 	must.Eq(t, apart, book(2))
-	must.Len(t, 1, schedule.turns)
+	must.Len(t, 1, schedule.nextRetries)
 }
