--- a/internal/traffic/closing/closing.go
+++ b/internal/traffic/closing/closing.go
@@ -1,46 +1,48 @@
-// Package closing tells the nodes of callers for how long to ask for no more requests at a
-// worker that gets fewer than come: it is cold, or names a limit. Those that are refused are
-// booked one behind the other, as fast as the worker is sent requests, so that few of them
-// ask in vain when they come again. It is pure: the caller passes the time.
+// Package closing computes for how long callers' nodes must send no more requests of an
+// urgency to a worker that takes fewer than arrive, because it is cold or advertises a
+// limit. Each rejected request extends that time by the interval at which the worker takes
+// requests, so that few retries are rejected again. The package is pure: the caller passes
+// the time.
 package closing
 
 import "time"
 
-// Urgency says before which others a request goes while a worker gets fewer than come. Those
-// of the least number go first.
+// Urgency orders requests while a worker takes fewer than arrive: lower numbers are served
+// first.
 type Urgency int
 
-// The urgencies: two of the tenants that go first and of callers without a tenant, and two
-// of all other tenants.
+// The urgencies: two for tenants of the highest priority and for callers without a tenant,
+// and two for all other tenants.
 const (
 	Urgent Urgency = iota
 	Patient
 	LaterUrgent
 	LaterPatient
-	Urgencies int = iota // their number
+	Urgencies int = iota // number of urgencies
 )
 
-// Most bounds the time for which callers' nodes are told to stay away.
+// Most is the maximum time for which callers' nodes are told to send no more requests.
 const Most = time.Second
 
-// Bookings are, by urgency, until when the refused requests are told to stay away. It is not
-// safe for use by several goroutines at once.
+// Bookings holds, by urgency, the time until which callers' nodes must send no more
+// requests. The zero value stops none. It is not safe for concurrent use.
 type Bookings [Urgencies]time.Time
 
-// Book notes one more request that was refused, where the worker gets one each interval.
+// Book records a rejected request at a worker that takes one request per interval, and
+// extends the time of its urgency by the interval, up to Most from now.
 func (b *Bookings) Book(urgency Urgency, interval time.Duration, now time.Time) {
-	booked := &b[urgency]
-	if booked.Before(now) {
-		*booked = now
+	until := &b[urgency]
+	if until.Before(now) {
+		*until = now
 	}
-	*booked = booked.Add(interval)
-	if most := now.Add(Most); booked.After(most) {
-		*booked = most
+	*until = until.Add(interval)
+	if latest := now.Add(Most); until.After(latest) {
+		*until = latest
 	}
 }
 
-// Left is for how long a node that is answered now is not to ask again for requests of an
-// urgency.
+// Left is the time for which a node that gets a response now must send no more requests of
+// an urgency, 0 if it may send them.
 func (b *Bookings) Left(urgency Urgency, now time.Time) time.Duration {
 	return max(0, b[urgency].Sub(now))
 }
