--- a/internal/replication/announce.go
+++ b/internal/replication/announce.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// announceShare is the part of Config.Freshness between two announcements of a node.
-const announceShare = 0.5
+// announceIntervalShare is the interval between two announcements of a node, as a share of
+// Config.Freshness.
+const announceIntervalShare = 0.5
 
-// announce speaks to one other node of the catalog at a time, in turn. A node that
-// started while the store is away knows nobody, and whoever had a stream to it may
-// have started anew as well: this way each running node is found, at a cost that
-// does not grow with the fleet. The turns begin behind this node's own rank, so
-// that the nodes of a zone do not all speak to the same one.
+// announce sends an announcement to one other node of the catalog per interval, in rotation. A
+// node that started while the store was unreachable knows no peers, and the peers it had streams
+// with may have restarted as well; the rotation reaches every running node at a cost per node
+// that does not grow with the fleet. It starts behind this node's own rank so that the nodes of a
+// zone do not all announce to the same peer. While this node is preferred as a reader, every
+// other announcement goes to the node that reads as long as the zone does not know this.
 func (m *Machine) announce(now time.Time) {
 	if m.state.Revision() == 0 || len(m.ranked) < 2 || now.Before(m.nextAnnouncement) {
 		return
 	}
-	m.nextAnnouncement = now.Add(m.share(announceShare))
+	m.nextAnnouncement = now.Add(m.share(announceIntervalShare))
 	others := len(m.ranked) - 1
 	m.announcements++
-	if formerly := m.formerReader(); formerly != "" && m.announcements%2 == 1 {
-		m.emit(m.announcementTo(formerly))
+	if former := m.readerWithoutPreference(); former != "" && m.announcements%2 == 1 {
+		m.emit(m.announcement(former))
 		return
 	}
-	turn := m.ranked[(m.ownRank()+1+(m.announcements-1)%others)%len(m.ranked)]
-	m.emit(m.announcementTo(turn.address))
+	next := m.ranked[(m.ownRank()+1+(m.announcements-1)%others)%len(m.ranked)]
+	m.emit(m.announcement(next.address))
 }
 
-// announcementTo speaks to another node and tells it which nodes this one prefers.
-func (m *Machine) announcementTo(address string) Announce {
+// announcement returns an announcement to another node that lists the nodes this one prefers.
+func (m *Machine) announcement(address string) Announce {
 	return Announce{Address: address, Preferred: m.Preferred()}
 }
--- a/internal/replication/confirm.go
+++ b/internal/replication/confirm.go
@@ -6,59 +6,59 @@
 	"sliphead/internal/catalog"
 )
 
-// How old knowledge is, is told from node to node: the receiver counts from when news came,
-// so at each way it seems younger by the time underway. Two nodes that follow each other
-// would hand the same confirmation back and forth and never see it grow old. So each question
-// to the store has a serial, and a node counts the same confirmation but once.
+// Nodes pass on the age of their catalog. The receiver counts from the time of arrival, so an
+// update seems younger by its transit time at each hop, and two nodes that follow each other
+// would refresh each other's confirmation forever. Each poll of the store therefore has a serial
+// number, and a node counts the same confirmation only once.
 
-// confirmation names a question to the store.
+// confirmation identifies the poll of the store that confirmed a revision.
 type confirmation struct {
-	reader string // address of the node that asked
-	serial uint64 // 0: not told
+	reader string // address of the node that polled
+	serial uint64 // 0: unknown
 }
 
-// mostReaders bounds the readers whose last serials are remembered. Beyond, they are learnt
-// anew.
-const mostReaders = 256
+// maxReaders bounds the readers whose last serials are tracked. When it is exceeded, the table is
+// cleared.
+const maxReaders = 256
 
-// known reports whether a confirmation has been counted.
-func (m *Machine) known(by confirmation) bool {
-	return by.serial != 0 && m.serials[by.reader] == by.serial
+func (m *Machine) isCounted(poll confirmation) bool {
+	return poll.serial != 0 && m.countedSerials[poll.reader] == poll.serial
 }
 
-// count notes a confirmation.
-func (m *Machine) count(by confirmation) {
-	if len(m.serials) >= mostReaders {
-		m.serials = map[string]uint64{}
+func (m *Machine) countConfirmation(poll confirmation) {
+	if len(m.countedSerials) >= maxReaders {
+		m.countedSerials = map[string]uint64{}
 	}
-	m.serials[by.reader] = by.serial
+	m.countedSerials[poll.reader] = poll.serial
 }
 
-// confirmedAt is as of when an answer of the store confirms what is known. One to a
-// question from before a pause may have waited here for the whole of it.
-func (m *Machine) confirmedAt(told time.Time) time.Time {
-	if m.askedAt.Before(m.resumed) && m.askedAt.Before(told) {
-		return m.askedAt
+// confirmationTime returns the time for which a store response confirms the catalog. A response
+// to a poll from before a pause may have been queued for the whole pause, so it counts from the
+// time of the poll.
+func (m *Machine) confirmationTime(responseTime time.Time) time.Time {
+	if m.polledAt.Before(m.resumedAt) && m.polledAt.Before(responseTime) {
+		return m.polledAt
 	}
-	return told
+	return responseTime
 }
 
-// ageOf is the age of news that has come now. Right after a pause it may have waited here
-// for the whole of it: taken for fresh, it put off the question that would tell more.
-func (m *Machine) ageOf(event News, now time.Time) time.Duration {
-	if m.paused > 0 && now.Sub(m.resumed) < m.share(chanceShare) {
-		return event.Age + m.paused
+// updateAge returns the age of an update that has just arrived. Right after a pause it may have
+// been queued for the whole pause; treated as fresh, it would delay the poll that brings newer
+// data.
+func (m *Machine) updateAge(event Update, now time.Time) time.Duration {
+	if m.pauseDuration > 0 && now.Sub(m.resumedAt) < m.share(graceShare) {
+		return event.Age + m.pauseDuration
 	}
 	return event.Age
 }
 
-// join takes a batch in that a reader's question brought, and tells what is new.
-// It reports false when the batch starts after what is known.
-func (m *Machine) join(batch catalog.Batch, confirmedAt time.Time, by confirmation, now time.Time) bool {
+// applyBatch applies a batch that the given poll brought and emits the resulting effects. It
+// returns false if the batch starts after the current revision and so leaves a gap.
+func (m *Machine) applyBatch(batch catalog.Batch, confirmedAt time.Time, poll confirmation, now time.Time) bool {
 	before := m.state.Point()
 	usable, changed := m.state.Join(batch)
 	if !usable {
-		m.needWhole = true
+		m.needSnapshot = true
 		return false
 	}
 	restored := before.Revision > 0 && m.state.Point().Era > before.Era
@@ -66,12 +66,12 @@
 	case restored:
 		m.onRestored(before, now)
 	case changed:
-		m.noteLapses(m.confirmed)
+		m.updateLapses(m.confirmed)
 	}
-	if batch.Point().Compare(m.state.Point()) >= 0 && confirmedAt.After(m.confirmed) && !m.known(by) {
+	if batch.Point().Compare(m.state.Point()) >= 0 && confirmedAt.After(m.confirmed) && !m.isCounted(poll) {
 		m.confirmed = confirmedAt
-		m.confirmedBy = by
-		m.count(by)
+		m.confirmedBy = poll
+		m.countConfirmation(poll)
 	}
 	if changed {
 		m.rank()
@@ -80,10 +80,11 @@
 	return true
 }
 
-// believe notes that a followed node has told something fresh. If another node
-// has read it, this one needs to read no longer, unless it is the zone's first.
-func (m *Machine) believe(event News) {
-	delete(m.doubts, event.From)
+// onFreshUpdate handles an update that is at least as fresh as the catalog: the sender is no
+// longer excluded, and if another node read the update from the store, this one stops reading
+// unless it is the first of its zone.
+func (m *Machine) onFreshUpdate(event Update) {
+	delete(m.exclusions, event.From)
 	if event.Reader != m.config.Self {
 		m.reading = false
 	}
--- a/internal/replication/event.go
+++ b/internal/replication/event.go
@@ -9,127 +9,127 @@
 // Event is an input of the machine.
 type Event interface{ event() }
 
-// Tick lets time pass. It is due every 50 to 100 ms.
+// Tick advances the clock. It is due every 50 to 100 ms.
 type Tick struct{}
 
-// StoreAnswered is the store's answer to the last Ask. Nothing newer was in
-// the store at ConfirmedAt.
-type StoreAnswered struct {
+// PollSucceeded is the store's response to the last Poll. The store had nothing newer at
+// ConfirmedAt.
+type PollSucceeded struct {
 	Batch       catalog.Batch
 	ConfirmedAt time.Time
 }
 
-// StoreFailed tells that the last Ask brought no answer.
-type StoreFailed struct {
+// PollFailed reports that the last Poll failed.
+type PollFailed struct {
 	Err         error
-	HistoryGone bool // whether the store no longer knows the changes that were asked for
-	Silent      bool // whether the store said nothing within the time
+	HistoryGone bool // whether the store no longer has the changes after the requested revision
+	TimedOut    bool // whether nothing of the response arrived before the timeout
 }
 
-// RecordAnswered is the store's answer to AskRecord. Whether the record is there
-// again, the news of the catalog tells.
-type RecordAnswered struct{ ID string }
+// RecordChecked reports that the store responded to CheckRecord. Whether the record exists again
+// is learned from catalog updates.
+type RecordChecked struct{ ID string }
 
-// RecordFailed tells that AskRecord brought no answer.
-type RecordFailed struct{ ID string }
+// RecordCheckFailed reports that CheckRecord got no response.
+type RecordCheckFailed struct{ ID string }
 
-// News is what a followed node said: a batch, how long ago the store confirmed
-// that nothing was newer, and to which node it did.
-type News struct {
+// Update is a message from the followed node: a batch, how long ago the store confirmed that
+// nothing was newer, and which node's poll it confirmed.
+type Update struct {
 	From   string
-	Reader string // address of the node whose question the store answered
-	Serial uint64 // of that question: see confirm.go; 0: not told
+	Reader string // address of the node that polled the store
+	Serial uint64 // of that poll, see confirm.go; 0: unknown
 	Batch  catalog.Batch
 	Age    time.Duration
-	// Preferred are the nodes that are to read the store for the sender's zone.
+	// Preferred are the nodes that should read the store for the sender's zone.
 	Preferred []string
 }
 
-// PeerLost tells that the stream from a followed node has ended.
+// PeerLost reports that the stream from a followed node has ended.
 type PeerLost struct{ Address string }
 
-// PeerSeen tells that another node has spoken to this one.
+// PeerSeen reports that another node has contacted this one.
 type PeerSeen struct {
 	Address string
 	Fast    bool // whether its link is fast
-	// Preferred are the nodes that it prefers for its zone.
+	// Preferred are the nodes that the sender prefers as readers for its zone.
 	Preferred []string
 }
 
-func (Tick) event()           {}
-func (StoreAnswered) event()  {}
-func (StoreFailed) event()    {}
-func (RecordAnswered) event() {}
-func (RecordFailed) event()   {}
-func (News) event()           {}
-func (PeerLost) event()       {}
-func (PeerSeen) event()       {}
+func (Tick) event()              {}
+func (PollSucceeded) event()     {}
+func (PollFailed) event()        {}
+func (RecordChecked) event()     {}
+func (RecordCheckFailed) event() {}
+func (Update) event()            {}
+func (PeerLost) event()          {}
+func (PeerSeen) event()          {}
 
 // Effect is an output of the machine, carried out by its owner.
 type Effect interface{ effect() }
 
-// Ask puts a question to the store: for everything, or for the changes after a
-// revision, waiting for the first one up to a time. It is answered by
-// StoreAnswered or StoreFailed.
-type Ask struct {
-	Whole bool
-	After uint64
-	Wait  time.Duration
+// Poll requests a full snapshot from the store, or the changes after a revision; in that case the
+// store holds the request for up to Wait until there is a change. It leads to PollSucceeded or
+// PollFailed.
+type Poll struct {
+	Snapshot bool
+	After    uint64
+	Wait     time.Duration
 }
 
-// AskRecord asks the store for the record of one instance. It is answered by
-// RecordAnswered or RecordFailed.
-type AskRecord struct{ ID string }
+// CheckRecord requests the record of one instance from the store. It leads to RecordChecked or
+// RecordCheckFailed.
+type CheckRecord struct{ ID string }
 
-// Follow asks for the stream of another node, in place of the stream before;
-// "" for none.
+// Follow opens a stream from another node in place of the current one; "" closes the current one
+// only.
 type Follow struct{ Address string }
 
-// Changed tells that the state has changed.
+// Changed reports that the state has changed.
 type Changed struct{}
 
-// Announce speaks to another node, which takes it as PeerSeen.
+// Announce sends an announcement to another node, which receives it as PeerSeen.
 type Announce struct {
 	Address   string
 	Preferred []string // by this node, for its zone
 }
 
-// Retain tells whether this node answers for the worker beside it although its
-// record is gone.
+// Retain sets whether this node keeps vouching for its local worker although the worker's record
+// has expired.
 type Retain struct{ Retains bool }
 
-// Log is an event for the log.
+// Log is a log event.
 type Log struct {
 	Event    LogEvent
 	Peer     string
-	Revision uint64 // that the store told; 0: none
+	Revision uint64 // of the store's response; 0: none
 	Duration time.Duration
 	Err      error
-	Before   catalog.Point // up to which everything was known, of EventStoreRestored
-	Missing  int           // workers whose records are gone, of EventStoreRestored and EventRestoreSettled
-	Doubted  int           // records and orders that are not followed: catalog.State.Doubted
+	Before   catalog.Point // of EventStoreRestored: the point up to which everything was known
+	Missing  int           // of EventStoreRestored and EventRestoreSettled: workers without a record
+	Doubted  int           // records and evacuation orders not applied yet, see catalog.State.Doubted
 }
 
-// LogEvent names an event of the log.
+// LogEvent is the name of a log event.
 type LogEvent string
 
-// The events of the log.
+// Log events.
 const (
-	EventPaused         LogEvent = "replication.paused"         // the process stood still
-	EventStoreLost      LogEvent = "replication.storeLost"      // a question to the store failed
-	EventStoreRegained  LogEvent = "replication.storeRegained"  // the store answers again
-	EventHistoryGone    LogEvent = "replication.historyGone"    // the store doesn't know the changes that were asked for
-	EventAnswerOlder    LogEvent = "replication.answerOlder"    // the store's answer is older than what is held: it is not used
-	EventStoreRestored  LogEvent = "replication.storeRestored"  // the store has come back from an older copy
-	EventRestoreSettled LogEvent = "replication.restoreSettled" // what the copy says is followed from now on, also against what was known
-	EventPeerLost       LogEvent = "replication.peerLost"       // a followed node is given up
-	EventFollowing      LogEvent = "replication.following"      // another node is followed
+	EventPaused         LogEvent = "replication.paused"         // the process was suspended
+	EventStoreLost      LogEvent = "replication.storeLost"      // a poll of the store failed
+	EventStoreRegained  LogEvent = "replication.storeRegained"  // the store responds again
+	EventHistoryGone    LogEvent = "replication.historyGone"    // the store no longer has the changes after the requested revision
+	EventAnswerOlder    LogEvent = "replication.answerOlder"    // the store's response is older than the catalog and is ignored
+	EventStoreRestored  LogEvent = "replication.storeRestored"  // the store was restored from an older backup
+	EventRestoreSettled LogEvent = "replication.restoreSettled" // the contents of the backup are applied from now on, even where they contradict what was known before
+	EventPeerLost       LogEvent = "replication.peerLost"       // a followed node is excluded for a time
+	EventFollowing      LogEvent = "replication.following"      // the node follows another node
 )
 
-func (Ask) effect()       {}
-func (AskRecord) effect() {}
-func (Follow) effect()    {}
-func (Changed) effect()   {}
-func (Announce) effect()  {}
-func (Retain) effect()    {}
-func (Log) effect()       {}
+func (Poll) effect()        {}
+func (CheckRecord) effect() {}
+func (Follow) effect()      {}
+func (Changed) effect()     {}
+func (Announce) effect()    {}
+func (Retain) effect()      {}
+func (Log) effect()         {}
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -12,17 +12,17 @@
 	"sliphead/internal/catalog"
 )
 
-// The fleet runs machines in virtual time, in steps of tickStep.
+// The simulated fleet runs machines in virtual time, in steps of tickStep.
 const (
-	freshness = 2 * time.Second
-	tickStep  = 20 * time.Millisecond
-	beat      = 240 * time.Millisecond
-	storeTime = 20 * time.Millisecond
+	freshness    = 2 * time.Second
+	tickStep     = 20 * time.Millisecond
+	heartbeat    = 240 * time.Millisecond
+	storeLatency = 20 * time.Millisecond
 )
 
 var (
 	errRefused = errors.New("refused")
-	errSilent  = errors.New("silent")
+	errTimeout = errors.New("timeout")
 	start      = time.Unix(1_000_000, 0)
 )
 
@@ -30,66 +30,65 @@
 type storeAccess int
 
 const (
-	serves      storeAccess = iota
-	refuses                 // at once
-	silent                  // the question is never answered
-	watchSilent             // only questions for everything are answered
-	slow                    // only questions for one record are answered
+	available            storeAccess = iota
+	refuses                          // immediately
+	unresponsive                     // no poll gets a response
+	longPollUnresponsive             // only polls for a full snapshot get a response
+	slowPolls                        // only checks of a single record get a response
 )
 
-// question is one that waits at the store.
-type question struct {
-	ask   Ask
+// pendingPoll is a poll that waits at the store.
+type pendingPoll struct {
+	poll  Poll
 	since time.Time
 }
 
-// recordQuestion is one for a single record.
-type recordQuestion struct {
+// pendingCheck is a check of a single record that waits at the store.
+type pendingCheck struct {
 	id    string
 	since time.Time
 }
 
-// simNode is one node of the fleet.
 type simNode struct {
 	address, zone string
 	machine       *Machine
 	up            bool
 	frozen        bool
-	cut           bool // from all nodes
+	cut           bool // partitioned from all nodes
 	access        storeAccess
-	question      *question
-	record        *recordQuestion
+	pendingPoll   *pendingPoll
+	pendingCheck  *pendingCheck
 	following     string
-	sent          catalog.Position // what the followed node has told it
-	told          time.Time
-	confirmed     time.Time // what the followed node had confirmed when it told
-	problemSince  time.Time // since when it is in touch: now less this is how long
+	sent          catalog.Position // position after everything the followed node has sent
+	sentAt        time.Time
+	sentConfirmed time.Time // confirmation of the followed node when it last sent
+	disturbedAt   time.Time // time of the last disturbance
 	retains       bool
 	fast          bool // whether its link is fast
-	underway      []delivery
+	inFlight      []delivery
 }
 
-// delivery is news on its way to a node.
+// delivery is an update in transit to a node.
 type delivery struct {
-	at   time.Time
-	news News
+	at     time.Time
+	update Update
 }
 
 // fleet is a store and its nodes.
 type fleet struct {
-	now       time.Time
-	store     *catalog.State
-	revision  uint64
-	versions  uint64 // by how much versions are ahead of revisions, since the store came back from copies
-	restored  uint64 // revision of the last copy that it came back from
-	away      bool   // whether it answers nobody
-	changedAt map[uint64]time.Time
-	nodes     []*simNode
-	calls     int
-	follows   int
-	shortWay  time.Duration     // of news within a region
-	regions   map[string]string // by zone
-	apart     map[string]bool   // regions that are cut off from all others and from the store
+	now              time.Time
+	store            *catalog.State
+	revision         uint64
+	versionOffset    uint64 // how far configuration versions are ahead of revisions after restores
+	restoredRevision uint64 // revision of the last restored backup
+	storeDown        bool   // whether the store responds to no node
+	changedAt        map[uint64]time.Time
+	nodes            []*simNode
+	polls            int
+	follows          int
+	intraRegionDelay time.Duration     // of updates within a region
+	regions          map[string]string // by zone
+	partitioned      map[string]bool   // regions cut off from all others and from the store
 }
 
 func newFleet(zones, perZone int) *fleet {
@@ -113,8 +112,8 @@
 
 func (f *fleet) start(node *simNode) {
 	node.machine = New(Config{Self: node.address, Zone: node.zone, Regions: f.regions, Freshness: freshness, Fast: node.fast}, f.now)
-	node.question, node.record, node.following, node.underway = nil, nil, "", nil
-	node.problemSince = f.now
+	node.pendingPoll, node.pendingCheck, node.following, node.inFlight = nil, nil, "", nil
+	node.disturbedAt = f.now
 }
 
 // change writes to the store.
@@ -122,22 +121,22 @@
 	f.revision++
 	change.Revision = f.revision
 	if change.Configuration != nil {
-		change.Configuration.Version = f.revision + f.versions
+		change.Configuration.Version = f.revision + f.versionOffset
 	}
 	f.store.Join(catalog.Batch{Era: f.store.Point().Era, From: f.revision - 1, To: f.revision, Changes: []catalog.Change{change}})
 	f.changedAt[f.revision] = f.now
 }
 
-// restore brings the store back from a copy. What had been written since is lost.
-func (f *fleet) restore(older catalog.Batch) {
-	f.versions += f.revision - older.To
-	older.Era = f.store.Point().Era + 1
+// restore restores the store from a backup. Later writes are lost.
+func (f *fleet) restore(backup catalog.Batch) {
+	f.versionOffset += f.revision - backup.To
+	backup.Era = f.store.Point().Era + 1
 	f.store = catalog.NewState()
-	f.store.Join(older)
-	f.revision, f.restored = older.To, older.To
+	f.store.Join(backup)
+	f.revision, f.restoredRevision = backup.To, backup.To
 	f.changedAt[f.revision] = f.now
 	for _, node := range f.nodes {
-		node.problemSince = f.now
+		node.disturbedAt = f.now
 	}
 }
 
@@ -155,14 +154,14 @@
 func (f *fleet) step(node *simNode, event Event) {
 	for _, effect := range node.machine.Step(event, f.now) {
 		switch effect := effect.(type) {
-		case Ask:
-			f.calls++
-			node.question = &question{ask: effect, since: f.now}
+		case Poll:
+			f.polls++
+			node.pendingPoll = &pendingPoll{poll: effect, since: f.now}
 		case Follow:
 			f.follows++
-			node.following, node.sent, node.told, node.underway = effect.Address, node.machine.State().Position(), time.Time{}, nil
-		case AskRecord:
-			node.record = &recordQuestion{id: effect.ID, since: f.now}
+			node.following, node.sent, node.sentAt, node.inFlight = effect.Address, node.machine.State().Position(), time.Time{}, nil
+		case CheckRecord:
+			node.pendingCheck = &pendingCheck{id: effect.ID, since: f.now}
 		case Announce:
 			f.announce(node, effect)
 		case Retain:
@@ -171,74 +170,76 @@
 	}
 }
 
-// announce tells a node that another one has spoken to it.
-func (f *fleet) announce(by *simNode, at Announce) {
+// announce delivers an announcement.
+func (f *fleet) announce(sender *simNode, at Announce) {
 	to := f.node(at.Address)
-	if to != nil && to.up && !to.frozen && !f.separated(to, by) {
-		f.step(to, PeerSeen{Address: by.address, Fast: by.fast, Preferred: at.Preferred})
+	if to != nil && to.up && !to.frozen && !f.isPartitioned(to, sender) {
+		f.step(to, PeerSeen{Address: sender.address, Fast: sender.fast, Preferred: at.Preferred})
 	}
 }
 
-// answer lets the store answer a node's question, or not.
-func (f *fleet) answer(node *simNode) {
-	asked := node.question
-	if asked == nil {
+// respond has the store respond to a node's poll, depending on the node's access and on the time
+// waited.
+func (f *fleet) respond(node *simNode) {
+	pending := node.pendingPoll
+	if pending == nil {
 		return
 	}
-	waited := f.now.Sub(asked.since) - f.storeWay(node)
+	waited := f.now.Sub(pending.since) - f.storeDelay(node)
 	access := node.access
-	if f.away {
-		access = silent
+	if f.storeDown {
+		access = unresponsive
 	}
-	limit := asked.ask.Wait + freshness/5
-	if asked.ask.Whole {
+	limit := pending.poll.Wait + freshness/5
+	if pending.poll.Snapshot {
 		limit = freshness * 3 / 5
 	}
 	switch {
-	case (access == silent || access == slow || access == watchSilent && !asked.ask.Whole) && waited >= limit:
-		node.question = nil
-		f.step(node, StoreFailed{Err: errSilent, Silent: true})
-	case access == refuses && waited >= storeTime:
-		node.question = nil
-		f.step(node, StoreFailed{Err: errRefused})
-	case !asked.ask.Whole && asked.ask.After > f.revision && waited >= storeTime:
-		node.question = nil
-		f.step(node, StoreFailed{Err: errRefused, HistoryGone: true})
-	case (access == serves || access == watchSilent && asked.ask.Whole) && waited >= storeTime:
-		changed := f.store.Revision() > asked.ask.After
-		if !asked.ask.Whole && !changed && waited < asked.ask.Wait {
+	case (access == unresponsive || access == slowPolls || access == longPollUnresponsive && !pending.poll.Snapshot) && waited >= limit:
+		node.pendingPoll = nil
+		f.step(node, PollFailed{Err: errTimeout, TimedOut: true})
+	case access == refuses && waited >= storeLatency:
+		node.pendingPoll = nil
+		f.step(node, PollFailed{Err: errRefused})
+	case !pending.poll.Snapshot && pending.poll.After > f.revision && waited >= storeLatency:
+		node.pendingPoll = nil
+		f.step(node, PollFailed{Err: errRefused, HistoryGone: true})
+	case (access == available || access == longPollUnresponsive && pending.poll.Snapshot) && waited >= storeLatency:
+		changed := f.store.Revision() > pending.poll.After
+		if !pending.poll.Snapshot && !changed && waited < pending.poll.Wait {
 			return
 		}
-		node.question = nil
-		after := f.store.Position() // the store knows nothing of the node but the revision
-		after.Revision = asked.ask.After
-		if asked.ask.Whole {
+		node.pendingPoll = nil
+		after := f.store.Position() // the store knows only the node's revision
+		after.Revision = pending.poll.After
+		if pending.poll.Snapshot {
 			after = catalog.Position{}
 		}
-		f.step(node, StoreAnswered{Batch: f.store.Since(after), ConfirmedAt: f.now})
+		f.step(node, PollSucceeded{Batch: f.store.Since(after), ConfirmedAt: f.now})
 	}
 }
 
-// answerRecord lets the store answer a node's question for one record, or not.
-func (f *fleet) answerRecord(node *simNode) {
-	asked := node.record
-	if asked == nil {
+// respondToCheck has the store respond to a node's check of a single record, depending on the
+// node's access and on the time waited.
+func (f *fleet) respondToCheck(node *simNode) {
+	pending := node.pendingCheck
+	if pending == nil {
 		return
 	}
 	const limit = freshness * 3 / 10
-	waited := f.now.Sub(asked.since)
+	waited := f.now.Sub(pending.since)
 	switch {
-	case node.access == silent && waited >= limit, node.access == refuses && waited >= storeTime:
-		node.record = nil
-		f.step(node, RecordFailed{ID: asked.id})
-	case node.access != silent && node.access != refuses && waited >= storeTime:
-		node.record = nil
-		f.step(node, RecordAnswered{ID: asked.id})
+	case node.access == unresponsive && waited >= limit, node.access == refuses && waited >= storeLatency:
+		node.pendingCheck = nil
+		f.step(node, RecordCheckFailed{ID: pending.id})
+	case node.access != unresponsive && node.access != refuses && waited >= storeLatency:
+		node.pendingCheck = nil
+		f.step(node, RecordChecked{ID: pending.id})
 	}
 }
 
-// push lets the followed node tell its news.
-func (f *fleet) push(node *simNode) {
+// sendUpdate has the followed node send an update if one is due.
+func (f *fleet) sendUpdate(node *simNode) {
 	if node.following == "" {
 		return
 	}
@@ -247,31 +248,31 @@
 		f.step(node, PeerLost{Address: node.following})
 		return
 	}
-	if from.frozen || f.separated(from, node) {
+	if from.frozen || f.isPartitioned(from, node) {
 		return
 	}
 	state := from.machine.State()
-	if state.Point().Compare(node.sent.Point) <= 0 && f.now.Sub(node.told) < beat && !from.machine.Confirmed().After(node.confirmed) {
+	if state.Point().Compare(node.sent.Point) <= 0 && f.now.Sub(node.sentAt) < heartbeat && !from.machine.Confirmed().After(node.sentConfirmed) {
 		return
 	}
 	batch := state.Since(node.sent)
-	node.sent, node.told, node.confirmed = state.Position(), f.now, from.machine.Confirmed()
+	node.sent, node.sentAt, node.sentConfirmed = state.Position(), f.now, from.machine.Confirmed()
 	age, _ := from.machine.Age(f.now)
 	reader, serial := from.machine.ConfirmedBy()
-	news := News{From: node.following, Reader: reader, Serial: serial, Batch: batch, Age: age, Preferred: from.machine.Preferred()}
-	node.underway = append(node.underway, delivery{at: f.now.Add(f.way(from, node)), news: news})
+	message := Update{From: node.following, Reader: reader, Serial: serial, Batch: batch, Age: age, Preferred: from.machine.Preferred()}
+	node.inFlight = append(node.inFlight, delivery{at: f.now.Add(f.delay(from, node)), update: message})
 }
 
-// arrive lets news that has been underway for long enough arrive.
-func (f *fleet) arrive(node *simNode) {
-	for len(node.underway) > 0 && !f.now.Before(node.underway[0].at) {
-		news := node.underway[0].news
-		node.underway = node.underway[1:]
-		f.step(node, news)
+// deliverUpdates delivers the updates whose transit time has passed.
+func (f *fleet) deliverUpdates(node *simNode) {
+	for len(node.inFlight) > 0 && !f.now.Before(node.inFlight[0].at) {
+		message := node.inFlight[0].update
+		node.inFlight = node.inFlight[1:]
+		f.step(node, message)
 	}
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (f *fleet) run(duration time.Duration) {
 	for end := f.now.Add(duration); f.now.Before(end); {
 		f.now = f.now.Add(tickStep)
@@ -280,41 +281,41 @@
 				continue
 			}
 			f.step(node, Tick{})
-			f.answer(node)
-			f.answerRecord(node)
-			f.push(node)
-			f.arrive(node)
+			f.respond(node)
+			f.respondToCheck(node)
+			f.sendUpdate(node)
+			f.deliverUpdates(node)
 		}
 	}
 }
 
-// late returns the nodes that have been in touch with the store for long enough
-// and lack a change that is older than the bound.
-func (f *fleet) late() []string {
-	var late []string
-	if f.away {
+// overdueNodes returns the nodes that have been in contact with the store for at least 3 s and
+// lack a change older than the freshness bound.
+func (f *fleet) overdueNodes() []string {
+	var overdue []string
+	if f.storeDown {
 		return nil
 	}
 	for _, node := range f.nodes {
-		inTouch := node.up && !node.frozen && !node.cut && node.access == serves && f.now.Sub(node.problemSince) >= 3*time.Second
-		if !inTouch {
+		connected := node.up && !node.frozen && !node.cut && node.access == available && f.now.Sub(node.disturbedAt) >= 3*time.Second
+		if !connected {
 			continue
 		}
 		next := node.machine.State().Revision() + 1
 		if node.machine.State().Point().Era < f.store.Point().Era {
-			next = f.restored // whatever the node knows, it lacks the copy
+			next = f.restoredRevision // a node in an earlier era lacks the whole backup
 		}
 		for revision := next; revision <= f.revision; revision++ {
 			if f.now.Sub(f.changedAt[revision]) > freshness {
-				late = append(late, fmt.Sprintf("%s lacks %d of %d", node.address, revision, f.revision))
+				overdue = append(overdue, fmt.Sprintf("%s lacks revision %d of %d", node.address, revision, f.revision))
 				break
 			}
 		}
 	}
-	return late
+	return overdue
 }
 
-func TestChangeReachesAll(t *testing.T) {
+func TestChangeReachesAllNodes(t *testing.T) {
 	f := newFleet(4, 3)
 	f.run(5 * time.Second)
 	f.configure()
@@ -324,24 +325,24 @@
 	}
 }
 
-// In calm, the calls to the store don't grow with the nodes of a zone.
-func TestCallsDoNotGrowWithTheZone(t *testing.T) {
+// In steady state, the number of polls does not grow with the number of nodes in a zone.
+func TestPollsDoNotGrowWithZoneSize(t *testing.T) {
 	calls := map[int]int{}
 	for _, perZone := range []int{3, 30} {
 		f := newFleet(2, perZone)
 		f.run(5 * time.Second)
-		f.calls = 0
+		f.polls = 0
 		f.run(30 * time.Second)
-		calls[perZone] = f.calls
+		calls[perZone] = f.polls
 	}
 	const zones, seconds = 2, 30
-	must.Less(t, zones*(seconds/readWaitShare/freshness.Seconds()+1), float64(calls[3]))
+	must.Less(t, zones*(seconds/longPollShare/freshness.Seconds()+1), float64(calls[3]))
 	must.Eq(t, calls[3], calls[30])
 }
 
-// In calm, no node has more followers than a link can carry a large change to,
-// and a change reaches all of a large zone in time.
-func TestZoneIsATree(t *testing.T) {
+// In steady state, no node has more followers than a link can carry a large change to, and a
+// change reaches all nodes of a large zone in time.
+func TestFanOutIsBounded(t *testing.T) {
 	f := newFleet(2, 80)
 	f.run(5 * time.Second)
 	followers := map[string]int{}
@@ -359,18 +360,18 @@
 	}
 }
 
-// A change soon after the store was away for all is known as fast as it can be read: nodes
-// follow one another as before at once.
-func TestChangeRightAfterAnOutage(t *testing.T) {
+// After an outage of the store, nodes return to their usual tree at once: a change soon after it
+// arrives as fast as it can be read.
+func TestChangeAfterStoreOutage(t *testing.T) {
 	for _, size := range [][2]int{{4, 3}, {2, 24}, {3, 80}} {
 		for _, since := range []time.Duration{tickStep, 400 * time.Millisecond, 800 * time.Millisecond} {
 			f := newFleet(size[0], size[1])
 			f.run(5 * time.Second)
 			f.configure()
 			f.run(time.Second)
-			f.away = true
+			f.storeDown = true
 			f.run(3 * time.Second)
-			f.away = false
+			f.storeDown = false
 			f.run(since)
 			f.configure()
 			f.run(freshness / 5)
@@ -381,36 +382,36 @@
 	}
 }
 
-// The nodes below one that passes news on, and fails, learn of a change in time.
-func TestNodeInTheTreeFails(t *testing.T) {
+// When a node that relays updates fails, the nodes below it still receive a change in time.
+func TestRelayNodeFails(t *testing.T) {
 	for name, fail := range map[string]func(*simNode){
 		"killed": func(node *simNode) { node.up = false },
 		"frozen": func(node *simNode) { node.frozen = true },
-		"cut":    func(node *simNode) { node.cut, node.access = true, silent },
+		"cut":    func(node *simNode) { node.cut, node.access = true, unresponsive },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(1, 3*fanOut)
 			f.run(5 * time.Second)
-			between := f.node(f.node(f.nodes[0].machine.ranked[2*fanOut].address).following)
-			must.False(t, between.machine.Reader(f.now))
-			fail(between)
-			between.problemSince = f.now
+			relay := f.node(f.node(f.nodes[0].machine.ranked[2*fanOut].address).following)
+			must.False(t, relay.machine.Reader(f.now))
+			fail(relay)
+			relay.disturbedAt = f.now
 			f.configure()
 			f.run(freshness + tickStep)
-			must.SliceEmpty(t, f.late())
+			must.SliceEmpty(t, f.overdueNodes())
 		})
 	}
 }
 
-// A zone whose reader is killed, frozen, cut off or no longer served by the
-// store learns of a change in time all the same.
+// When its reader is killed, frozen, cut off or not served by the store, a zone still receives a
+// change in time.
 func TestReaderFails(t *testing.T) {
 	for name, fail := range map[string]func(*simNode){
-		"killed":  func(node *simNode) { node.up = false },
-		"frozen":  func(node *simNode) { node.frozen = true },
-		"cut":     func(node *simNode) { node.cut, node.access = true, silent },
-		"silent":  func(node *simNode) { node.access = silent },
-		"refused": func(node *simNode) { node.access = refuses },
+		"killed":       func(node *simNode) { node.up = false },
+		"frozen":       func(node *simNode) { node.frozen = true },
+		"cut":          func(node *simNode) { node.cut, node.access = true, unresponsive },
+		"unresponsive": func(node *simNode) { node.access = unresponsive },
+		"rejected":     func(node *simNode) { node.access = refuses },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(1, 4)
@@ -418,19 +419,19 @@
 			for _, node := range f.nodes {
 				if node.machine.Reader(f.now) {
 					fail(node)
-					node.problemSince = f.now
+					node.disturbedAt = f.now
 					break
 				}
 			}
 			f.configure()
 			f.run(freshness + tickStep)
-			must.SliceEmpty(t, f.late())
+			must.SliceEmpty(t, f.overdueNodes())
 		})
 	}
 }
 
-// oldest is the age of the oldest knowledge of all nodes.
-func (f *fleet) oldest() time.Duration {
+// maxAge returns the greatest age of any node's catalog.
+func (f *fleet) maxAge() time.Duration {
 	var oldest time.Duration
 	for _, node := range f.nodes {
 		age, _ := node.machine.Age(f.now)
@@ -439,42 +440,42 @@
 	return oldest
 }
 
-// Two nodes each held the other for the reader: one whose question had failed
-// long ago, and one that stood in for it and then gave the duty back unasked.
-// Knowledge grew old again and again, though the store served everybody.
-func TestReaderHandsOverOnceAnotherReads(t *testing.T) {
+// Two nodes each took the other for the reader: one whose poll had failed long ago, and one that
+// had replaced it and then gave up the role before the other read again. Catalogs went stale
+// repeatedly although the store served every node.
+func TestReaderKeepsPollingUntilReplaced(t *testing.T) {
 	for _, perZone := range []int{2, 3, 2*fanOut + 3} {
 		f := newFleet(1, perZone)
 		f.run(5 * time.Second)
 		reader := f.reader()
 		reader.access = refuses
 		f.run(freshness)
-		reader.access = serves
+		reader.access = available
 		f.run(freshness / 2)
 		for range 500 {
 			f.run(tickStep)
-			must.LessEq(t, time.Duration(switchShare*float64(freshness)), f.oldest(), must.Sprint(perZone))
+			must.LessEq(t, time.Duration(staleAgeShare*float64(freshness)), f.maxAge(), must.Sprint(perZone))
 		}
 	}
 }
 
-// Two nodes that follow each other, since the store refuses the zone's first, handed the
-// same confirmation back and forth: at each of its ways it seemed younger by the time
-// underway, and never grew old.
-func TestConfirmationIsNotRenewedByPassingItOn(t *testing.T) {
+// Two nodes that followed each other because the store rejected the first of the zone passed the
+// same confirmation back and forth. It seemed younger by its transit time at each hop and never
+// aged.
+func TestRelayedConfirmationIsCountedOnce(t *testing.T) {
 	f := newFleet(1, 4)
-	f.shortWay = tickStep
+	f.intraRegionDelay = tickStep
 	f.run(5 * time.Second)
 	reader := f.reader()
-	reader.access, reader.problemSince = refuses, f.now
+	reader.access, reader.disturbedAt = refuses, f.now
 	for range 10 {
 		f.configure()
 		f.run(freshness / 2)
-		must.SliceEmpty(t, f.late())
+		must.SliceEmpty(t, f.overdueNodes())
 	}
 }
 
-// reader is a node that reads the store, nil if there is none.
+// reader returns a node that reads the store, nil if there is none.
 func (f *fleet) reader() *simNode {
 	for _, node := range f.nodes {
 		if node.up && node.machine.Reader(f.now) {
@@ -484,12 +485,12 @@
 	return nil
 }
 
-// While watches hear nothing, reads still tell what has changed.
-func TestSilentWatch(t *testing.T) {
+// When long polls get no response, polls for a full snapshot still bring changes.
+func TestUnresponsiveLongPoll(t *testing.T) {
 	f := newFleet(2, 4)
 	f.run(5 * time.Second)
 	for _, node := range f.nodes {
-		node.access = watchSilent
+		node.access = longPollUnresponsive
 	}
 	for range 10 {
 		f.configure()
@@ -503,11 +504,11 @@
 	}
 }
 
-// A node that the store refuses lives on its peers' news.
-func TestRefusedNodeLivesOnPeers(t *testing.T) {
+// A node that the store rejects gets its updates from peers.
+func TestRejectedNodeUpdatesFromPeers(t *testing.T) {
 	f := newFleet(2, 2)
 	f.run(5 * time.Second)
-	f.nodes[0].access, f.nodes[1].access = refuses, refuses // a whole zone
+	f.nodes[0].access, f.nodes[1].access = refuses, refuses // all nodes of a zone
 	f.configure()
 	f.run(5 * time.Second)
 	for _, node := range f.nodes {
@@ -515,14 +516,13 @@
 	}
 }
 
-// A zone whose nodes all read the store slowly, as on links that are full, learns of
-// changes from other zones in time: its nodes asked one another in turn, all of which
-// followed the same reader.
-func TestZoneThatReadsSlowlyTurnsToOthers(t *testing.T) {
+// A zone whose nodes all poll slowly, as on saturated links, receives changes from other zones in
+// time. Before, its nodes tried one another in turn, all of which followed the same reader.
+func TestZoneWithSlowPollsFollowsOtherZones(t *testing.T) {
 	f := newFleet(3, 24)
 	f.run(5 * time.Second)
 	for _, node := range f.nodes[:24] {
-		node.access = slow
+		node.access = slowPolls
 	}
 	f.run(freshness)
 	f.follows = 0
@@ -531,52 +531,52 @@
 		f.configure()
 		for range freshness / tickStep {
 			f.run(tickStep)
-			must.LessEq(t, 3, f.mostFollowersFromOutside()) // they do not all turn to the same one
+			must.LessEq(t, 3, f.maxFollowersFromOtherZones()) // they spread over the nodes of other zones
 		}
 		for _, node := range f.nodes {
 			must.Eq(t, f.revision, node.machine.State().Revision(), must.Sprint(node.address))
 		}
 	}
-	must.Less(t, 3*rounds*len(f.nodes[:24]), f.follows) // and stay there while it serves
+	must.Less(t, 3*rounds*len(f.nodes[:24]), f.follows) // and stay with a node while it serves them
 }
 
-// mostFollowersFromOutside is the largest number of nodes of other zones that follow
-// one node.
-func (f *fleet) mostFollowersFromOutside() int {
-	counts, most := map[string]int{}, 0
+// maxFollowersFromOtherZones returns the largest number of followers from other zones that one
+// node has.
+func (f *fleet) maxFollowersFromOtherZones() int {
+	counts, largest := map[string]int{}, 0
 	for _, node := range f.nodes {
 		if followed := f.node(node.following); followed != nil && followed.zone != node.zone {
 			counts[node.following]++
-			most = max(most, counts[node.following])
+			largest = max(largest, counts[node.following])
 		}
 	}
-	return most
+	return largest
 }
 
-// While the store serves nobody, nodes don't run through all others in search of
-// fresh news: they did so within some milliseconds each.
-func TestOutageMakesNoStorm(t *testing.T) {
+// While the store serves nobody, nodes must not cycle through all peers in search of fresh
+// updates. They used to do so within milliseconds.
+func TestStoreOutageCausesNoPollStorm(t *testing.T) {
 	f := newFleet(2, 20)
 	f.run(5 * time.Second)
 	for _, node := range f.nodes {
 		node.access = refuses
 	}
 	f.run(2 * time.Second)
-	f.follows, f.calls = 0, 0
+	f.follows, f.polls = 0, 0
 	const seconds = 10
 	f.run(seconds * time.Second)
 	perNode := float64(f.follows) / float64(len(f.nodes)) / seconds
-	must.Less(t, 1/(chanceShare*freshness.Seconds()), perNode)
-	must.Less(t, 2*len(f.nodes)*seconds, f.calls)
+	must.Less(t, 1/(graceShare*freshness.Seconds()), perNode)
+	must.Less(t, 2*len(f.nodes)*seconds, f.polls)
 }
 
-// A node that starts while the store is away takes what peers hold, once one of
-// them has spoken to it.
+// A node that starts while the store is unreachable gets its catalog from a peer once one has
+// contacted it.
 func TestStartWithoutStore(t *testing.T) {
 	f := newFleet(1, 3)
 	f.run(5 * time.Second)
 	for _, node := range f.nodes {
-		node.access = silent
+		node.access = unresponsive
 	}
 	f.start(f.nodes[0])
 	f.step(f.nodes[0], PeerSeen{Address: f.nodes[1].address})
@@ -584,15 +584,15 @@
 	must.Eq(t, f.revision, f.nodes[0].machine.State().Revision())
 }
 
-// Nodes that start while the store is away learn what the others hold although no
-// stream was ever opened to them, also where all nodes of their zone start.
-func TestStartWithoutStoreAndStreams(t *testing.T) {
+// Nodes that start while the store is unreachable get their catalog from peers although no stream
+// to them was ever opened, even if all nodes of their zone start.
+func TestStartWithoutStoreOrStreams(t *testing.T) {
 	for name, started := range map[string]int{"one": 1, "a zone": 4, "all but one": 11} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(3, 4)
 			f.run(5 * time.Second)
 			for _, node := range f.nodes {
-				node.access = silent
+				node.access = unresponsive
 			}
 			for _, node := range f.nodes[:started] {
 				f.start(node)
@@ -605,9 +605,9 @@
 	}
 }
 
-// Whatever fails and comes back, a node in touch knows each change within the
-// bound, and no node's knowledge goes back within one life.
-func TestFleetStaysFresh(t *testing.T) {
+// Whatever fails and recovers, a node in contact with the store has each change within the
+// freshness bound, and no node's revision decreases while it runs.
+func TestFleetStaysFreshUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 3).Draw(t, "zones"), rapid.SampledFrom([]int{1, 2, 3, 4, 2*fanOut + 3}).Draw(t, "perZone"))
 		f.run(4 * time.Second)
@@ -617,20 +617,20 @@
 			if rapid.Bool().Draw(t, "change") {
 				f.configure()
 			}
-			held := f.held()
+			before := f.revisions()
 			f.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "ticks")) * 5 * tickStep)
-			if late := f.late(); len(late) > 0 {
-				t.Fatalf("late: %v", late)
+			if overdue := f.overdueNodes(); len(overdue) > 0 {
+				t.Fatalf("overdue: %v", overdue)
 			}
-			f.checkForward(t, held)
+			f.checkRevisionsForward(t, before)
 		}
 	})
 }
 
-// disturb changes what one node meets.
+// disturb applies a random disturbance to a node.
 func disturb(t *rapid.T, f *fleet, node *simNode) {
-	node.problemSince = f.now
-	switch rapid.SampledFrom([]string{"kill", "start", "freeze", "wake", "cut", "heal", "refuse", "silence", "serve", "silence watches"}).Draw(t, "disturbance") {
+	node.disturbedAt = f.now
+	switch rapid.SampledFrom([]string{"kill", "start", "freeze", "wake", "cut", "heal", "refuse", "time out", "serve", "time out watches"}).Draw(t, "disturbance") {
 	case "kill":
 		node.up = false
 	case "start":
@@ -643,33 +643,33 @@
 	case "wake":
 		node.frozen = false
 	case "cut":
-		node.cut, node.access = true, silent
+		node.cut, node.access = true, unresponsive
 	case "heal":
-		node.cut, node.access = false, serves
+		node.cut, node.access = false, available
 	case "refuse":
 		node.access = refuses
-	case "silence":
-		node.access = silent
+	case "time out":
+		node.access = unresponsive
 	case "serve":
-		node.access = serves
-	case "silence watches":
-		node.access = watchSilent
+		node.access = available
+	case "time out watches":
+		node.access = longPollUnresponsive
 	}
 }
 
-// held is what each running node knows.
-func (f *fleet) held() map[*Machine]uint64 {
-	held := map[*Machine]uint64{}
+// revisions returns the revision of each running node.
+func (f *fleet) revisions() map[*Machine]uint64 {
+	byMachine := map[*Machine]uint64{}
 	for _, node := range f.nodes {
-		held[node.machine] = node.machine.State().Revision()
+		byMachine[node.machine] = node.machine.State().Revision()
 	}
-	return held
+	return byMachine
 }
 
-func (f *fleet) checkForward(t *rapid.T, held map[*Machine]uint64) {
+func (f *fleet) checkRevisionsForward(t *rapid.T, before map[*Machine]uint64) {
 	for _, node := range f.nodes {
-		if now := node.machine.State().Revision(); now < held[node.machine] {
-			t.Fatalf("%s went back from %d to %d", node.address, held[node.machine], now)
+		if now := node.machine.State().Revision(); now < before[node.machine] {
+			t.Fatalf("%s: revision went back from %d to %d", node.address, before[node.machine], now)
 		}
 	}
 }
--- a/internal/replication/lapse.go
+++ b/internal/replication/lapse.go
@@ -7,46 +7,46 @@
 	"sliphead/internal/catalog"
 )
 
-// A worker that can't reach the store can't renew its record, and the store drops
-// it: a cut between machines and the store so takes away workers that live, as
-// many as are needed. The node beside such a worker mostly shares its fate. It asks
-// the store for its worker's record when that is gone: as long as it gets no answer,
-// it can't know better and retains the worker. As soon as the store answers, the
-// record counts, after a time in which a worker that lives has written it again.
+// A worker that can't reach the store can't renew its record, and the store expires it: a
+// partition between machines and the store removes the records of live workers. The node on the
+// worker's machine is usually partitioned too. When its worker's record expires, it requests that
+// record from the store. While it gets no response, it retains the worker, since it can't tell
+// whether the worker has ended. Once the store responds, the store's view of the record counts,
+// after a delay in which a live worker has written it again.
 //
-// The question is for that record alone. Questions for changes bring whole
-// configurations, and on a narrow link they take longer than a node may wait: that
-// they fail says nothing of the way to the store.
+// Only that record is requested. Polls for changes bring whole configurations, which on a narrow
+// link take longer than the timeout, so their failure does not show that the store is
+// unreachable.
 
-// Shares of Config.Freshness.
+// Durations as shares of Config.Freshness.
 const (
-	recordRetryShare = 0.3 // the longest wait between two questions for the record
-	slowShare        = 1.0 // from which on failures are held for a store that was away, and not for slow answers
-	returnShare      = 0.5 // for which a node goes on retaining it when a store that was away has answered
-	lapseShare       = 15  // for which others remember an instance whose record is gone
+	maxRecordRetryShare = 0.3 // longest delay between two checks of the record
+	outageShare         = 1.0 // failures for at least this long count as a store outage, shorter ones as slow responses
+	recoveryRetainShare = 0.5 // how long the worker is retained after an outage has ended
+	lapseRetentionShare = 15  // how long other nodes track an instance whose record has expired
 )
 
-// recordCheck is what this node has found out about the missing record of the worker
-// beside it.
+// recordCheck tracks the check for the expired record of this node's worker.
 type recordCheck struct {
-	id           string // of the instance, "" while its record is there
-	asking       bool
-	answered     bool      // whether the store has answered
-	next         time.Time // when to ask
+	id           string // of the instance, "" while its record exists
+	pending      bool
+	succeeded    bool      // whether the store has responded
+	nextCheck    time.Time // when the next check is due
 	failures     int       // in a row
-	failingSince time.Time // when the first question of those that failed was put
-	retainUntil  time.Time // with an answer: until when the node retains it all the same
+	failingSince time.Time // when the first check of the current run of failures was sent
+	retainUntil  time.Time // after a response: end of the extra retention
 }
 
-// Lapse is an instance whose record is gone without a word of leaving.
+// Lapse is an instance whose record is gone although the instance had not announced that it
+// leaves.
 type Lapse struct {
 	Instance catalog.Instance
-	// Since is a time at which the record was still there: the bound on a leaving
-	// worker's requests runs from then at the earliest.
+	// Since is a time at which the record still existed. The limit on a leaving worker's requests
+	// runs from then at the earliest.
 	Since time.Time
 }
 
-// Lapses returns the instances that may live without a record.
+// Lapses returns the instances that may be running without a record.
 func (m *Machine) Lapses() []Lapse {
 	var lapses []Lapse
 	for _, instance := range m.state.Lapsed() {
@@ -55,8 +55,9 @@
 	return lapses
 }
 
-// noteLapses takes the time at which records were last there.
-func (m *Machine) noteLapses(before time.Time) {
+// updateLapses tracks since when records have been missing; before is when newly missing ones
+// were last present.
+func (m *Machine) updateLapses(before time.Time) {
 	current := make(map[string]time.Time, len(m.lapses))
 	for _, instance := range m.state.Lapsed() {
 		since, known := m.lapses[instance.ID]
@@ -68,10 +69,11 @@
 	m.lapses = current
 }
 
-// forgetLapses takes those for gone whose records have been missing for long.
-func (m *Machine) forgetLapses(now time.Time) {
+// expireLapses drops instances whose records have been missing for longer than
+// lapseRetentionShare, unless this node retains its own worker.
+func (m *Machine) expireLapses(now time.Time) {
 	for id, since := range m.lapses {
-		if now.Sub(since) > m.share(lapseShare) && !m.retains {
+		if now.Sub(since) > m.share(lapseRetentionShare) && !m.retains {
 			m.state.ForgetLapsed(id)
 			delete(m.lapses, id)
 			m.emit(Changed{})
@@ -79,13 +81,13 @@
 	}
 }
 
-// isOwn reports whether an instance is the worker beside this node.
+// isOwn reports whether an instance is the worker on this node's machine.
 func (m *Machine) isOwn(instance catalog.Instance) bool {
 	host, _, err := net.SplitHostPort(instance.Address)
 	return err == nil && host == m.config.Self
 }
 
-// ownLapsed returns the worker beside this node if its record is gone, "" if not.
+// ownLapsed returns the id of this node's worker if its record has expired, else "".
 func (m *Machine) ownLapsed() string {
 	if len(m.lapses) == 0 {
 		return ""
@@ -98,51 +100,51 @@
 	return ""
 }
 
-// checkOwnRecord asks the store for the record of the worker beside this node while
-// it is missing and the store has not answered.
+// checkOwnRecord requests the record of this node's worker while it is missing and the store has
+// not responded.
 func (m *Machine) checkOwnRecord(now time.Time) {
-	if id := m.ownLapsed(); id != m.own.id {
-		m.own = recordCheck{id: id}
+	if id := m.ownLapsed(); id != m.ownRecord.id {
+		m.ownRecord = recordCheck{id: id}
 	}
-	if m.own.id == "" || m.own.asking || m.own.answered || now.Before(m.own.next) {
+	if m.ownRecord.id == "" || m.ownRecord.pending || m.ownRecord.succeeded || now.Before(m.ownRecord.nextCheck) {
 		return
 	}
-	m.own.asking = true
-	if m.own.failures == 0 {
-		m.own.failingSince = now
+	m.ownRecord.pending = true
+	if m.ownRecord.failures == 0 {
+		m.ownRecord.failingSince = now
 	}
-	m.emit(AskRecord{ID: m.own.id})
+	m.emit(CheckRecord{ID: m.ownRecord.id})
 }
 
-// onRecordAnswer takes in that the store has answered. If it had not done so for
-// long, it was away, and a worker that lives is given time to write its record again;
-// else the answer was merely slow, and counts at once.
-func (m *Machine) onRecordAnswer(event RecordAnswered, now time.Time) {
-	if event.ID != m.own.id {
+// onRecordChecked handles a response of the store. After a long run of failures, which counts as
+// an outage, a live worker gets time to write its record again; after a short one, the response
+// was merely slow and takes effect at once.
+func (m *Machine) onRecordChecked(event RecordChecked, now time.Time) {
+	if event.ID != m.ownRecord.id {
 		return
 	}
-	m.own.asking = false
-	m.own.answered = true
-	if now.Sub(m.own.failingSince) >= m.share(slowShare) {
-		m.own.retainUntil = now.Add(m.share(returnShare))
+	m.ownRecord.pending = false
+	m.ownRecord.succeeded = true
+	if now.Sub(m.ownRecord.failingSince) >= m.share(outageShare) {
+		m.ownRecord.retainUntil = now.Add(m.share(recoveryRetainShare))
 	}
 }
 
-func (m *Machine) onRecordFailure(event RecordFailed, now time.Time) {
-	if event.ID != m.own.id {
+func (m *Machine) onRecordCheckFailed(event RecordCheckFailed, now time.Time) {
+	if event.ID != m.ownRecord.id {
 		return
 	}
-	wait := m.share(firstRetryShare) << min(m.own.failures, 4)
-	m.own.asking = false
-	m.own.failures++
-	m.own.next = now.Add(min(wait, m.share(recordRetryShare)))
+	wait := m.share(minRetryShare) << min(m.ownRecord.failures, 4)
+	m.ownRecord.pending = false
+	m.ownRecord.failures++
+	m.ownRecord.nextCheck = now.Add(min(wait, m.share(maxRecordRetryShare)))
 }
 
-// retain decides whether this node answers for the worker beside it.
-func (m *Machine) retain(now time.Time) {
+// updateRetain decides whether this node retains its worker.
+func (m *Machine) updateRetain(now time.Time) {
 	m.checkOwnRecord(now)
-	failing := m.own.failures > 0 && !m.own.answered
-	retains := m.own.id != "" && (failing || now.Before(m.own.retainUntil))
+	failing := m.ownRecord.failures > 0 && !m.ownRecord.succeeded
+	retains := m.ownRecord.id != "" && (failing || now.Before(m.ownRecord.retainUntil))
 	if retains == m.retains {
 		return
 	}
--- a/internal/replication/lapse_test.go
+++ b/internal/replication/lapse_test.go
@@ -9,104 +9,104 @@
 	"sliphead/internal/catalog"
 )
 
-// lapse removes the record of a node's worker.
-func (f *fleet) lapse(node *simNode) { f.change(catalog.Change{Removed: "i-" + node.address}) }
+// expireRecord removes the record of a node's worker.
+func (f *fleet) expireRecord(node *simNode) { f.change(catalog.Change{Removed: "i-" + node.address}) }
 
-// renew writes it again.
-func (f *fleet) renew(node *simNode) {
+// renewRecord writes the record of a node's worker again.
+func (f *fleet) renewRecord(node *simNode) {
 	f.change(catalog.Change{Instance: &catalog.Instance{ID: "i-" + node.address, Zone: node.zone, Address: node.address + ":80"}})
 }
 
-// A node that is cut off from the store retains its worker, whose record has
-// gone with the cut: all the time, and not for long after it reaches the store.
-func TestCutNodeRetainsItsWorker(t *testing.T) {
-	for _, access := range []storeAccess{silent, refuses} {
+// A node that is partitioned from the store retains its worker, whose record has expired because
+// of the partition, until shortly after it reaches the store again.
+func TestNodeWithoutStoreRetainsWorker(t *testing.T) {
+	for _, access := range []storeAccess{unresponsive, refuses} {
 		f := newFleet(2, 4)
 		f.run(3 * time.Second)
-		cut := f.nodes[2]
-		cut.access = access
+		isolated := f.nodes[2]
+		isolated.access = access
 		f.run(time.Second)
-		f.lapse(cut)
+		f.expireRecord(isolated)
 		f.run(2 * time.Second)
 		for range 50 {
-			must.True(t, cut.retains)
+			must.True(t, isolated.retains)
 			f.run(200 * time.Millisecond)
 		}
-		must.Len(t, 1, cut.machine.Lapses())
-		cut.access = serves
-		f.run(2 * time.Second) // less than contactS, within which it is not held to what the store says
-		must.False(t, cut.retains)
+		must.Len(t, 1, isolated.machine.Lapses())
+		isolated.access = available
+		f.run(2 * time.Second) // less than contactS, within which the node is not held to what the store says
+		must.False(t, isolated.retains)
 	}
 }
 
-// A worker whose record is back needs nobody to retain it.
-func TestRecordThatIsBackNeedsNoRetaining(t *testing.T) {
+// A node stops retaining a worker whose record exists again.
+func TestRetentionEndsWhenRecordReturns(t *testing.T) {
 	f := newFleet(1, 3)
 	f.run(3 * time.Second)
-	cut := f.nodes[1]
-	cut.access = silent
-	f.lapse(cut)
+	isolated := f.nodes[1]
+	isolated.access = unresponsive
+	f.expireRecord(isolated)
 	f.run(3 * time.Second)
-	must.True(t, cut.retains)
-	f.renew(cut)
+	must.True(t, isolated.retains)
+	f.renewRecord(isolated)
 	f.run(300 * time.Millisecond)
-	must.False(t, cut.retains)
-	must.SliceEmpty(t, cut.machine.Lapses())
+	must.False(t, isolated.retains)
+	must.SliceEmpty(t, isolated.machine.Lapses())
 }
 
-// A node that reaches the store does not retain: it asks once, and the record counts.
-func TestNodeInTouchDoesNotRetain(t *testing.T) {
+// A node that reaches the store does not retain its worker: it checks once, and the missing
+// record counts.
+func TestNoRetentionWhileStoreResponds(t *testing.T) {
 	f := newFleet(1, 4)
 	f.run(3 * time.Second)
-	gone := f.nodes[3]
-	f.lapse(gone)
-	f.calls = 0
+	node := f.nodes[3]
+	f.expireRecord(node)
+	f.polls = 0
 	for range 100 {
 		f.run(100 * time.Millisecond)
-		must.False(t, gone.retains)
+		must.False(t, node.retains)
 	}
 	const seconds = 10
-	usual := seconds/(readWaitShare*freshness.Seconds()) + 1
-	must.LessEq(t, usual+2, float64(f.calls)) // the question beside the reader's own
+	usual := seconds/(longPollShare*freshness.Seconds()) + 1
+	must.LessEq(t, usual+2, float64(f.polls)) // the check beside the reader's polls
 }
 
-// A node whose questions for changes fail while the store answers small ones does not
-// retain: on a narrow link, beside a storm of configurations, that kept a worker in
-// use for longer than a leaving one may be.
-func TestSlowAnswersAreNoReasonToRetain(t *testing.T) {
+// A node whose polls for changes fail while the store responds to small requests does not retain
+// its worker. Retaining it, on a narrow link during a burst of configuration changes, kept a
+// worker in use for longer than the limit for a leaving one.
+func TestNoRetentionOnSlowPolls(t *testing.T) {
 	f := newFleet(1, 4)
 	f.run(3 * time.Second)
-	gone := f.nodes[3]
-	gone.access = slow
+	node := f.nodes[3]
+	node.access = slowPolls
 	f.run(time.Second)
-	f.lapse(gone)
+	f.expireRecord(node)
 	for range 100 {
 		f.run(100 * time.Millisecond)
-		must.False(t, gone.retains)
+		must.False(t, node.retains)
 	}
 }
 
-// One question that fails does not let a node retain for longer than until the next
-// is answered.
-func TestRetainingEndsWithAnAnswerAfterAShortFailure(t *testing.T) {
+// A single failed check makes a node retain its worker only until the next check gets a response.
+func TestRetentionEndsAfterShortStoreFailure(t *testing.T) {
 	f := newFleet(1, 4)
 	f.run(3 * time.Second)
-	gone := f.nodes[3]
-	gone.access = silent
-	f.lapse(gone)
+	node := f.nodes[3]
+	node.access = unresponsive
+	f.expireRecord(node)
 	f.run(freshness / 2)
-	must.True(t, gone.retains)
-	gone.access = serves
+	must.True(t, node.retains)
+	node.access = available
 	f.run(freshness * 3 / 10)
-	must.False(t, gone.retains)
+	must.False(t, node.retains)
 }
 
-// The others remember the instance for a bounded time, and since when at the latest
-// its record was there.
-func TestLapsesAreRememberedForAWhile(t *testing.T) {
+// Other nodes track an instance with an expired record for a bounded time, along with a time at
+// which the record still existed.
+func TestLapsesExpire(t *testing.T) {
 	f := newFleet(1, 3)
 	f.run(3 * time.Second)
-	f.lapse(f.nodes[2])
+	f.expireRecord(f.nodes[2])
 	removed := f.now
 	f.run(500 * time.Millisecond)
 	for _, node := range f.nodes {
@@ -115,7 +115,7 @@
 		must.False(t, since.After(removed.Add(tickStep)))
 		must.Less(t, freshness, removed.Sub(since))
 	}
-	f.run(time.Duration(lapseShare * float64(freshness)))
+	f.run(time.Duration(lapseRetentionShare * float64(freshness)))
 	for _, node := range f.nodes {
 		must.SliceEmpty(t, node.machine.Lapses())
 	}
--- a/internal/replication/machine.go
+++ b/internal/replication/machine.go
@@ -1,9 +1,8 @@
-// Package replication keeps one node's catalog fresh. One node in each zone
-// reads the store and passes on what it learns; the others follow it. Every
-// message carries how long ago its content was confirmed by the store, so each
-// node knows the age of its own knowledge. Whoever's knowledge grows old turns
-// to another node, and then to the store itself: no single reader, link or
-// path to the store has to work.
+// Package replication keeps one node's catalog fresh. One node in each zone reads the store and
+// relays the updates; the others follow it. Every message carries how long ago the store
+// confirmed its content, so each node knows the age of its catalog. A node whose catalog becomes
+// stale follows another node, and then polls the store itself: the system does not depend on any
+// single reader, link or path to the store.
 //
 // The machine is pure: Step takes an event and the time and returns effects.
 package replication
@@ -14,114 +13,112 @@
 	"sliphead/internal/catalog"
 )
 
-// Config tunes one node's machine.
+// Config configures one node's machine.
 type Config struct {
-	Self      string            // IP address of this node
-	Zone      string            // of this node
-	Regions   map[string]string // by zone; nil where they are not known: see region.go
+	Self      string // IP address of this node
+	Zone      string
+	Regions   map[string]string // by zone; nil if unknown: see region.go
 	Freshness time.Duration
 	Fast      bool // whether this node's link is fast: see prefer.go
 }
 
-// Shares of Config.Freshness, the age within which a change has to be known.
+// Durations as shares of Config.Freshness, the age within which a change has to be known.
 const (
-	readWaitShare   = 0.45 // how long a reader's question waits at the store for a change
-	alertWaitShare  = 0.15 // the same after a question that met silence
-	alertForShare   = 3.0  // for how long after it
-	switchShare     = 0.68 // age at which another node is followed
-	readShare       = 0.7  // age at which the store is asked whoever the reader is
-	staggerShare    = 0.01 // by which ranks spread their questions
-	silenceShare    = 0.32 // without a word, after which a followed node is given up
-	chanceShare     = 0.1  // for which a node is followed before it may be given up as stale
-	distrustShare   = 1.0  // how long a node that was given up is passed over, at first
-	spacingShare    = 0.12 // between an answer that brought changes and the next question
-	settlingShare   = 0.5  // the same until this node's worker was first recorded
-	firstRetryShare = 0.1
-	mostRetryShare  = 0.5
+	longPollShare            = 0.45 // how long the store holds a reader's poll until there is a change
+	shortPollShare           = 0.15 // the same after a poll that timed out
+	shortPollPeriodShare     = 3.0  // for how long after the timeout shortPollShare applies
+	staleAgeShare            = 0.68 // age at which another node is followed
+	pollAgeShare             = 0.7  // age at which a node polls the store although it is not the reader
+	staggerShare             = 0.01 // additional age per rank, which spreads these polls
+	peerTimeoutShare         = 0.32 // time without a message after which a followed node is excluded
+	graceShare               = 0.1  // how long a node is followed before it may be excluded as stale
+	exclusionShare           = 1.0  // how long a node is excluded the first time
+	pollIntervalShare        = 0.12 // delay between a response that brought changes and the next poll
+	startupPollIntervalShare = 0.5  // the same until this node's worker is first recorded
+	minRetryShare            = 0.1
+	maxRetryShare            = 0.5
 )
 
-// perReader is how many nodes of a zone may fall back on the store within one
-// retry interval: in a larger zone, those of lower rank wait longer.
-const perReader = 20
+// pollersPerRetryInterval is how many nodes of a zone may fall back to the store within one retry
+// interval; in a larger zone, those of lower rank wait longer.
+const pollersPerRetryInterval = 20
 
-// mostDoublings bounds by how much longer a node is passed over that was given
-// up again and again.
-const mostDoublings = 2
+// maxExclusionDoublings bounds how often the exclusion time doubles for a node that fails
+// repeatedly.
+const maxExclusionDoublings = 2
 
-// Machine is the replication state of one node. It is not safe for use by
-// several goroutines.
+// Machine is the replication state of one node. It is not safe for concurrent use.
 type Machine struct {
-	config      Config
-	state       *catalog.State
-	confirmed   time.Time         // when the store was last known to have no newer revision
-	confirmedBy confirmation      // the question that told so
-	asked       uint64            // serial of the last question of this node that was answered
-	serials     map[string]uint64 // by reader: of its last question that is known
-	last        time.Time         // of the step before
-	paused      time.Duration     // how long the last pause was
-	resumed     time.Time         // when it ended
-	out         []Effect
-
-	regional bool // whether there are several regions
-
-	ranked []peer // of this zone and then of others, best first
-	above  []peer // of zones before this one, best first; empty where there is one region
-	hints  map[string]bool
-	fast   map[string]bool // nodes whose links are fast, as far as is known
-
-	reading     bool // whether this node reads the store for its zone
-	asking      bool
-	askedAt     time.Time // when the last question was put
-	askedWhole  bool      // whether the last question was for everything
-	nextAsk     time.Time
-	failures    int       // questions to the store that failed in a row
-	needWhole   bool      // because changes are missing
-	unused      bool      // whether the last answer of the store told less than is known, or no history
-	settled     bool      // whether this node's worker was recorded since the start
-	watchSilent bool      // because a question for changes met silence, which one for everything may not
-	alertUntil  time.Time // until when the store's silence is expected again
-
-	following string // address of the node that is followed, "" for none
-	heard     time.Time
-	followed  time.Time        // since when
-	doubts    map[string]doubt // by address: nodes that were given up
-
-	settleAt time.Time // when doubts about a copy of the store end, the zero time while there are none
-
-	lapses  map[string]time.Time // by id of an instance whose record is gone: when it was last there
-	own     recordCheck
-	retains bool
+	config         Config
+	state          *catalog.State
+	confirmed      time.Time         // when the store last confirmed that it had no newer revision
+	confirmedBy    confirmation      // the poll that confirmed it
+	pollSerial     uint64            // serial of this node's last successful poll
+	countedSerials map[string]uint64 // by reader: serial of its last poll that was counted
+	lastStep       time.Time         // time of the previous step
+	pauseDuration  time.Duration     // length of the last pause of the process
+	resumedAt      time.Time         // when it ended
+	effects        []Effect
+
+	multiRegion bool // whether there are several regions
+
+	ranked         []peer // nodes of this zone, then of others, best first
+	upstreamPeers  []peer // nodes of zones ranked before this one, best first; empty if there is only one region
+	announcedPeers map[string]bool
+	fastNodes      map[string]bool // nodes known to have fast links
+
+	reading          bool // whether this node reads the store for its zone
+	polling          bool
+	polledAt         time.Time // when the last poll was sent
+	polledSnapshot   bool      // whether the last poll was for a full snapshot
+	nextPoll         time.Time
+	failures         int       // consecutive polls that failed
+	needSnapshot     bool      // because changes are missing
+	responseUnused   bool      // whether the last response of the store was older than the catalog; logged only once in a row
+	workerRecorded   bool      // whether this node's worker has been recorded since the start
+	longPollTimedOut bool      // whether the last poll for changes timed out; one for a full snapshot may still succeed
+	shortPollUntil   time.Time // until when polls wait shortPollShare only
+
+	following      string // address of the node that is followed, "" for none
+	lastReceived   time.Time
+	followingSince time.Time
+	exclusions     map[string]exclusion // by address: excluded nodes
+
+	settleAt time.Time // when the contents of a restored backup are applied; zero if none are pending
+
+	lapses    map[string]time.Time // by instance id: when its expired record was last seen
+	ownRecord recordCheck
+	retains   bool
 
 	nextAnnouncement time.Time
-	announcements    int // so far, of other nodes in turn
+	announcements    int // sent so far in the rotation
 }
 
-// doubt is held of a node that was given up.
-type doubt struct {
-	until time.Time // when it may be followed again
-	times int       // that it was lost or silent since its last news
+// exclusion is the state of a node that is passed over.
+type exclusion struct {
+	until    time.Time // when it may be followed again
+	failures int       // how often it was lost or unresponsive since its last fresh update
 }
 
-// New returns the machine of a node that knows nothing.
+// New returns the machine of a node with an empty catalog.
 func New(config Config, now time.Time) *Machine {
 	return &Machine{
-		config:   config,
-		regional: severalRegions(config.Regions),
-		state:    catalog.NewState(),
-		last:     now,
-		hints:    map[string]bool{},
-		fast:     map[string]bool{config.Self: config.Fast},
-		doubts:   map[string]doubt{},
-		serials:  map[string]uint64{},
-		asked:    uint64(now.UnixNano()), // past the serials of an earlier life
+		config:         config,
+		multiRegion:    hasSeveralRegions(config.Regions),
+		state:          catalog.NewState(),
+		lastStep:       now,
+		announcedPeers: map[string]bool{},
+		fastNodes:      map[string]bool{config.Self: config.Fast},
+		exclusions:     map[string]exclusion{},
+		countedSerials: map[string]uint64{},
+		pollSerial:     uint64(now.UnixNano()), // above the serials of an earlier run
 	}
 }
 
-// State returns what the node knows. It must not be changed.
+// State returns the node's catalog. It must not be changed.
 func (m *Machine) State() *catalog.State { return m.state }
 
-// Age returns how long ago the store confirmed what is known, false when
-// nothing is known.
+// Age returns how long ago the store confirmed the catalog, false if the catalog is empty.
 func (m *Machine) Age(now time.Time) (time.Duration, bool) {
 	if m.state.Revision() == 0 {
 		return 0, false
@@ -129,240 +126,242 @@
 	return now.Sub(m.confirmed), true
 }
 
-// Confirmed returns when the store was last known to have nothing newer, the
-// zero time when nothing is known.
+// Confirmed returns when the store last confirmed that it had nothing newer than the catalog, the
+// zero time if the catalog is empty.
 func (m *Machine) Confirmed() time.Time { return m.confirmed }
 
 // Following returns the address of the node that is followed, "" for none.
 func (m *Machine) Following() string { return m.following }
 
-// ConfirmedBy returns the address of the node whose question to the store
-// confirmed what is known, "" when nothing is known, and the question's serial.
+// ConfirmedBy returns the address of the node whose poll of the store confirmed the catalog, ""
+// if the catalog is empty, and the serial of that poll.
 func (m *Machine) ConfirmedBy() (reader string, serial uint64) {
 	return m.confirmedBy.reader, m.confirmedBy.serial
 }
 
-// Reader reports whether this node has the duty to read the store.
+// Reader reports whether this node should read the store.
 func (m *Machine) Reader(now time.Time) bool {
-	return m.reading || m.leader(now) == m.config.Self
+	return m.reading || m.expectedReader(now) == m.config.Self
 }
 
-// Step takes one event and returns the effects, to be carried out in order.
+// Step processes one event and returns the effects, to be carried out in order.
 func (m *Machine) Step(event Event, now time.Time) []Effect {
-	m.out = nil
-	m.noticePause(now)
+	m.effects = nil
+	m.detectPause(now)
 	switch event := event.(type) {
 	case Tick:
-	case StoreAnswered:
-		m.onAnswer(event, now)
-	case StoreFailed:
-		m.onFailure(event, now)
-	case RecordAnswered:
-		m.onRecordAnswer(event, now)
-	case RecordFailed:
-		m.onRecordFailure(event, now)
-	case News:
-		m.onNews(event, now)
+	case PollSucceeded:
+		m.onPollSucceeded(event, now)
+	case PollFailed:
+		m.onPollFailed(event, now)
+	case RecordChecked:
+		m.onRecordChecked(event, now)
+	case RecordCheckFailed:
+		m.onRecordCheckFailed(event, now)
+	case Update:
+		m.onUpdate(event, now)
 	case PeerLost:
-		m.onLost(event.Address, now)
+		m.onPeerLost(event.Address, now)
 	case PeerSeen:
-		m.onSeen(event)
+		m.onPeerSeen(event)
 	}
-	m.takeDuty(now)
-	m.follow(now)
-	m.forgetLapses(now)
+	m.updateReaderRole(now)
+	m.updateFollowing(now)
+	m.expireLapses(now)
 	m.settle(now)
-	m.ask(now)
-	m.retain(now)
+	m.poll(now)
+	m.updateRetain(now)
 	m.announce(now)
-	return m.out
+	return m.effects
 }
 
-// noticePause forgets what the clock's gap makes doubtful: after a pause no
-// peer is known to be silent, and the store is asked at once.
-func (m *Machine) noticePause(now time.Time) {
-	gap := now.Sub(m.last)
-	m.last = now
-	if gap < m.share(silenceShare) {
+// detectPause resets what a gap in the clock invalidates: after a pause no peer counts as
+// unresponsive, and the store is polled at once.
+func (m *Machine) detectPause(now time.Time) {
+	gap := now.Sub(m.lastStep)
+	m.lastStep = now
+	if gap < m.share(peerTimeoutShare) {
 		return
 	}
-	m.paused, m.resumed = gap, now
-	m.heard = now
-	m.nextAsk = now
-	m.doubts = map[string]doubt{}
+	m.pauseDuration, m.resumedAt = gap, now
+	m.lastReceived = now
+	m.nextPoll = now
+	m.exclusions = map[string]exclusion{}
 	m.emit(Log{Event: EventPaused, Duration: gap})
 }
 
-func (m *Machine) onAnswer(event StoreAnswered, now time.Time) {
-	m.asking = false
+func (m *Machine) onPollSucceeded(event PollSucceeded, now time.Time) {
+	m.polling = false
 	if m.failures > 0 {
 		m.emit(Log{Event: EventStoreRegained, Revision: event.Batch.To})
-		m.trustAll()
+		m.clearExclusions()
 	}
 	m.failures = 0
-	m.watchSilent = false
-	m.nextAsk = now
+	m.longPollTimedOut = false
+	m.nextPoll = now
 	if event.Batch.Whole {
-		m.needWhole = false
+		m.needSnapshot = false
 	}
-	m.asked++
-	m.noteOlder(event.Batch)
-	usable := m.join(event.Batch, m.confirmedAt(event.ConfirmedAt), confirmation{reader: m.config.Self, serial: m.asked}, now)
+	m.pollSerial++
+	m.logOlderResponse(event.Batch)
+	usable := m.applyBatch(event.Batch, m.confirmationTime(event.ConfirmedAt), confirmation{reader: m.config.Self, serial: m.pollSerial}, now)
 	if usable && len(event.Batch.Changes) > 0 {
-		m.nextAsk = now.Add(m.spacing())
+		m.nextPoll = now.Add(m.pollInterval())
 	}
 }
 
-// trustAll forgets which nodes were given up while the store was away. All of them grew stale
-// then, and whoever passed them over went on to follow nodes that followed it in turn: a
-// change within a second after an outage of 3 s took up to 1.5 s to reach 48 nodes in two
-// zones, and takes 0.3 s so; in the four seconds after, the store is asked 30 times in place
-// of 46 (virtual time, TestChangeRightAfterAnOutage).
-func (m *Machine) trustAll() { m.doubts = map[string]doubt{} }
+// clearExclusions removes all exclusions once the store responds again. All nodes became stale
+// during the outage, and a node that excluded its usual source would follow nodes that follow it
+// in turn. Without this, a change within a second after an outage of 3 s took up to 1.5 s to
+// reach 48 nodes in two zones instead of 0.3 s, and the store was polled 46 times instead of 30
+// in the next four seconds (virtual time, TestChangeAfterStoreOutage).
+func (m *Machine) clearExclusions() { m.exclusions = map[string]exclusion{} }
 
-// noteOlder tells of an answer that is older than what is known, the first one in a row.
-func (m *Machine) noteOlder(batch catalog.Batch) {
+// logOlderResponse logs the first of consecutive responses that are older than the catalog.
+func (m *Machine) logOlderResponse(batch catalog.Batch) {
 	older := batch.Point().Compare(m.state.Point()) < 0
-	if older && !m.unused {
+	if older && !m.responseUnused {
 		m.emit(Log{Event: EventAnswerOlder, Revision: batch.To})
 	}
-	m.unused = older
+	m.responseUnused = older
 }
 
-// spacing is the time between an answer that brought changes and the next question. A
-// mesh that starts is recorded worker by worker, and until a node knows of others each
-// takes itself for its zone's first: then all of them would ask after each change.
-func (m *Machine) spacing() time.Duration {
-	if m.settled {
-		return m.share(spacingShare)
+// pollInterval returns the delay between a response that brought changes and the next poll. When
+// a mesh starts, its workers are recorded one by one, and until a node knows of others it takes
+// itself for the first of its zone: without a longer delay, all nodes would poll after each
+// change.
+func (m *Machine) pollInterval() time.Duration {
+	if m.workerRecorded {
+		return m.share(pollIntervalShare)
 	}
-	return m.share(settlingShare)
+	return m.share(startupPollIntervalShare)
 }
 
-func (m *Machine) onFailure(event StoreFailed, now time.Time) {
-	m.asking = false
+func (m *Machine) onPollFailed(event PollFailed, now time.Time) {
+	m.polling = false
 	if event.HistoryGone {
-		if !m.unused {
+		if !m.responseUnused {
 			m.emit(Log{Event: EventHistoryGone})
 		}
-		m.needWhole = true
-		m.nextAsk = now
+		m.needSnapshot = true
+		m.nextPoll = now
 		return
 	}
 	if m.failures == 0 {
 		m.emit(Log{Event: EventStoreLost, Err: event.Err})
 	}
-	m.watchSilent = event.Silent && !m.askedWhole
-	if m.watchSilent {
-		m.alertUntil = now.Add(m.share(alertForShare))
+	m.longPollTimedOut = event.TimedOut && !m.polledSnapshot
+	if m.longPollTimedOut {
+		m.shortPollUntil = now.Add(m.share(shortPollPeriodShare))
 	}
 	m.reading = false
-	m.nextAsk = now.Add(m.retryWait())
-	if m.watchSilent {
-		m.nextAsk = now
+	m.nextPoll = now.Add(m.retryDelay())
+	if m.longPollTimedOut {
+		m.nextPoll = now
 	}
 	m.failures++
 }
 
-// retryWait grows with the failures in a row and with this node's rank in its
-// zone, so that a large fleet without a store does not flood it.
-func (m *Machine) retryWait() time.Duration {
-	wait := m.share(firstRetryShare) << min(m.failures, 4)
-	wait = min(wait, m.share(mostRetryShare))
-	return wait * time.Duration(1+m.ownRank()/perReader)
+// retryDelay grows with the consecutive failures and with this node's rank in its zone, so that a
+// large fleet does not overload a recovering store.
+func (m *Machine) retryDelay() time.Duration {
+	wait := m.share(minRetryShare) << min(m.failures, 4)
+	wait = min(wait, m.share(maxRetryShare))
+	return wait * time.Duration(1+m.ownRank()/pollersPerRetryInterval)
 }
 
-func (m *Machine) onNews(event News, now time.Time) {
+func (m *Machine) onUpdate(event Update, now time.Time) {
 	if event.From != m.following {
 		return
 	}
-	m.heard = now
+	m.lastReceived = now
 	for _, address := range event.Preferred {
-		m.learnFast(address)
+		m.addFastNode(address)
 	}
 	if event.Batch.To == 0 {
 		return
 	}
-	before, told := m.confirmed, now.Add(-m.ageOf(event, now))
-	by := confirmation{reader: event.Reader, serial: event.Serial}
-	repeated := m.known(by)
-	if !m.join(event.Batch, told, by, now) {
+	before, confirmedAt := m.confirmed, now.Add(-m.updateAge(event, now))
+	poll := confirmation{reader: event.Reader, serial: event.Serial}
+	repeated := m.isCounted(poll)
+	if !m.applyBatch(event.Batch, confirmedAt, poll, now) {
 		m.emit(Follow{Address: m.following})
 		return
 	}
 	current := event.Batch.Era == m.state.Point().Era
-	if current && !told.Before(before) && !repeated {
-		m.believe(event)
+	if current && !confirmedAt.Before(before) && !repeated {
+		m.onFreshUpdate(event)
 	}
 }
 
-func (m *Machine) onLost(address string, now time.Time) {
+func (m *Machine) onPeerLost(address string, now time.Time) {
 	if address == m.following {
-		m.giveUp(address, now, true)
+		m.exclude(address, now, true)
 	}
 }
 
-// onSeen notes a node that spoke to this one. While nothing is known, it can be
-// asked.
-func (m *Machine) onSeen(event PeerSeen) {
+// onPeerSeen handles contact from another node. While the catalog is empty, that node becomes a
+// candidate to follow.
+func (m *Machine) onPeerSeen(event PeerSeen) {
 	for _, address := range event.Preferred {
-		m.learnFast(address)
+		m.addFastNode(address)
 	}
-	m.onFast(event)
+	m.onFastPeer(event)
 	if m.state.Revision() == 0 && event.Address != m.config.Self {
-		m.hints[event.Address] = true
+		m.announcedPeers[event.Address] = true
 		m.rank()
 	}
 }
 
-// giveUp passes a node over for a while: the longer, the more often it was gone.
-func (m *Machine) giveUp(address string, now time.Time, gone bool) {
-	held := m.doubts[address]
-	held.until = now.Add(m.share(distrustShare) << min(held.times, mostDoublings))
-	if gone {
-		held.times++
+// exclude passes a node over for a time that doubles with each failure, up to
+// maxExclusionDoublings times.
+func (m *Machine) exclude(address string, now time.Time, lost bool) {
+	current := m.exclusions[address]
+	current.until = now.Add(m.share(exclusionShare) << min(current.failures, maxExclusionDoublings))
+	if lost {
+		current.failures++
 	}
-	m.doubts[address] = held
+	m.exclusions[address] = current
 	m.emit(Log{Event: EventPeerLost, Peer: address})
 }
 
-func (m *Machine) trusts(address string, now time.Time) bool {
-	return !now.Before(m.doubts[address].until)
+func (m *Machine) isEligible(address string, now time.Time) bool {
+	return !now.Before(m.exclusions[address].until)
 }
 
-// ask puts a question to the store when this node has the duty, knows nothing,
-// or has old knowledge.
-func (m *Machine) ask(now time.Time) {
-	if m.asking || now.Before(m.nextAsk) {
+// poll polls the store if this node is the reader, its catalog is empty or stale, or changes are
+// missing.
+func (m *Machine) poll(now time.Time) {
+	if m.polling || now.Before(m.nextPoll) {
 		return
 	}
 	reader := m.Reader(now)
 	age, known := m.Age(now)
-	old := known && age > m.share(readShare)+time.Duration(m.ownRank())*m.share(staggerShare)
-	if known && !reader && !old && !m.needWhole && !m.watchSilent && !m.returns(now) {
+	stale := known && age > m.share(pollAgeShare)+time.Duration(m.ownRank())*m.share(staggerShare)
+	if known && !reader && !stale && !m.needSnapshot && !m.longPollTimedOut && !m.probesStore(now) {
 		return
 	}
-	question := Ask{Whole: !known || m.needWhole || m.watchSilent, After: m.state.Revision()}
-	if reader && m.failures == 0 && !m.standsIn(now) {
-		question.Wait = m.readWait(now)
+	request := Poll{Snapshot: !known || m.needSnapshot || m.longPollTimedOut, After: m.state.Revision()}
+	if reader && m.failures == 0 && !m.isBackupReader(now) {
+		request.Wait = m.longPollWait(now)
 	}
-	m.asking = true
-	m.askedAt = now
-	m.askedWhole = question.Whole
-	m.emit(question)
+	m.polling = true
+	m.polledAt = now
+	m.polledSnapshot = request.Snapshot
+	m.emit(request)
 }
 
-// readWait is how long a reader's question waits at the store: while the store
-// may say nothing of a change, not for long.
-func (m *Machine) readWait(now time.Time) time.Duration {
-	if now.Before(m.alertUntil) {
-		return m.share(alertWaitShare)
+// longPollWait returns how long the store may hold a reader's poll. It is shorter for a while
+// after a long poll has timed out.
+func (m *Machine) longPollWait(now time.Time) time.Duration {
+	if now.Before(m.shortPollUntil) {
+		return m.share(shortPollShare)
 	}
-	return m.share(readWaitShare)
+	return m.share(longPollShare)
 }
 
 func (m *Machine) share(part float64) time.Duration {
 	return time.Duration(part * float64(m.config.Freshness))
 }
 
-func (m *Machine) emit(effect Effect) { m.out = append(m.out, effect) }
+func (m *Machine) emit(effect Effect) { m.effects = append(m.effects, effect) }
--- a/internal/replication/prefer.go
+++ b/internal/replication/prefer.go
@@ -5,87 +5,86 @@
 	"time"
 )
 
-// Each change of the configuration brings all of it to a zone's reader, coded for text:
-// 0.4 MB for 1600 routes, which is 0.65 s of a link of 5 Mbit/s, and up to five changes come
-// in a second. What is passed on is a difference of a kilobyte or so. Where a zone has nodes
-// with faster links, two of them read and pass news on; they come first in the zone's rank.
+// Each configuration change sends a zone's reader the whole configuration in a text encoding:
+// 0.4 MB for 1600 routes, which takes 0.65 s on a link of 5 Mbit/s, with up to five changes a second.
+// What nodes relay is a difference of about a kilobyte. If a zone has nodes with faster links,
+// two of them come first in the zone's rank, so that one reads and the other is next in line.
 //
-// Workers leave, and their machines with them: a zone may have no fast node left. Its first
-// node then follows a fast one of another zone, and reads the store only if it knows none.
+// When workers leave, their machines leave too, and a zone may have no fast node left. Its first
+// node then follows a fast node of another zone, and reads the store only if it knows of none.
 //
-// A node knows its own link alone. A fast one tells the node that reads otherwise when it
-// announces itself, and that one names the two with the highest weights with its news. What is known
-// of links only grows, so the nodes of a zone come to the same order.
+// A node knows only the speed of its own link. A fast node reports it in an announcement to the
+// node that would otherwise read; that node's updates list the two fast nodes with the highest
+// weights. The set of known fast nodes only grows, so the nodes of a zone converge on the same
+// order.
 
-// preferredNodes is how many nodes of a zone come first: one more than reads.
-const preferredNodes = 2
+// maxPreferred is how many fast nodes of a zone are ranked first: one more than reads.
+const maxPreferred = 2
 
-// mostFast bounds the fast nodes that are remembered: machines come and go. Beyond, they are
-// learnt anew.
-const mostFast = 1024
+// maxFastNodes bounds the tracked fast nodes, since machines come and go. When it is exceeded,
+// the set is cleared and learned again.
+const maxFastNodes = 1024
 
-// FastLink reports whether a link, in megabits a second, brings the largest configuration
-// in a tenth of the time within which a change has to be known. A link that nothing is
-// known of, 0, counts as slow.
+// FastLink reports whether a link of the given speed, in megabits per second, transfers the
+// largest configuration in a tenth of the time within which a change has to be known. A link of
+// unknown speed, 0, counts as slow.
 func FastLink(megabits float64, freshness time.Duration) bool {
 	const (
-		largestMegabits = 8 // a megabyte, the store's bound on one item
+		largestMegabits = 8 // one megabyte, the store's limit for one item
 		share           = 0.1
 	)
 	return megabits*share*freshness.Seconds() >= largestMegabits
 }
 
-// learnFast notes that a node's link is fast.
-func (m *Machine) learnFast(address string) {
-	if m.fast[address] {
+func (m *Machine) addFastNode(address string) {
+	if m.fastNodes[address] {
 		return
 	}
-	if len(m.fast) >= mostFast {
-		m.fast = map[string]bool{m.config.Self: m.config.Fast}
+	if len(m.fastNodes) >= maxFastNodes {
+		m.fastNodes = map[string]bool{m.config.Self: m.config.Fast}
 	}
-	m.fast[address] = true
+	m.fastNodes[address] = true
 	m.rank()
 }
 
-// onFast notes that a node has told that its link is fast. One that prefers others than this
-// node, itself most likely, is told whom: it may take itself for the reader. Both then know
-// what both knew, so there is one reply at most.
-func (m *Machine) onFast(event PeerSeen) {
+// onFastPeer records a peer that reported a fast link. If the peer prefers other readers than
+// this node does, it may take itself for the reader, so this node replies with its own list. Both
+// then have the union of their lists, so there is at most one reply.
+func (m *Machine) onFastPeer(event PeerSeen) {
 	if !event.Fast {
 		return
 	}
-	m.learnFast(event.Address)
-	told := slices.DeleteFunc(slices.Clone(event.Preferred), func(address string) bool { return !m.isOfZone(address) })
-	if len(told) > 0 && m.isOfZone(event.Address) && !slices.Equal(told, m.preferredHere()) {
-		m.emit(m.announcementTo(event.Address))
+	m.addFastNode(event.Address)
+	reported := slices.DeleteFunc(slices.Clone(event.Preferred), func(address string) bool { return !m.isInZone(address) })
+	if len(reported) > 0 && m.isInZone(event.Address) && !slices.Equal(reported, m.preferredInZone()) {
+		m.emit(m.announcement(event.Address))
 	}
 }
 
-// isOfZone reports whether a node is of this node's zone.
-func (m *Machine) isOfZone(address string) bool {
+func (m *Machine) isInZone(address string) bool {
 	return slices.ContainsFunc(m.ranked, func(candidate peer) bool {
 		return candidate.address == address && candidate.zone == m.config.Zone
 	})
 }
 
-// prefer puts the fast nodes of this zone with the highest weights first. The nodes are in
-// the order of their weights.
-func (m *Machine) prefer() {
+// markPreferred moves the fast nodes of this zone with the highest weights to the front. The
+// nodes must already be sorted by weight.
+func (m *Machine) markPreferred() {
 	chosen := 0
 	for index := range m.ranked {
 		candidate := &m.ranked[index]
-		if candidate.zone != m.config.Zone || chosen == preferredNodes {
+		if candidate.zone != m.config.Zone || chosen == maxPreferred {
 			break
 		}
-		if m.fast[candidate.address] {
+		if m.fastNodes[candidate.address] {
 			candidate.preferred = true
 			chosen++
 		}
 	}
-	slices.SortStableFunc(m.ranked, compare)
+	slices.SortStableFunc(m.ranked, comparePeers)
 }
 
-// comparePreferred puts preferred nodes first.
+// comparePreferred sorts preferred nodes first.
 func comparePreferred(a, b peer) int {
 	switch {
 	case a.preferred == b.preferred:
@@ -97,9 +96,9 @@
 	}
 }
 
-// preferredHere returns the nodes that are to read the store for this zone, as far as is
-// known.
-func (m *Machine) preferredHere() []string {
+// preferredInZone returns the nodes that should read the store for this zone, as far as this node
+// knows.
+func (m *Machine) preferredInZone() []string {
 	var preferred []string
 	for _, candidate := range m.ranked {
 		if candidate.preferred {
@@ -109,34 +108,34 @@
 	return preferred
 }
 
-// Preferred returns the nodes that others are told of: those that are to read the store for
-// this zone, and as many fast ones of other zones.
+// Preferred returns the nodes to list in messages to peers: those that should read the store for
+// this zone, and as many fast nodes of other zones.
 func (m *Machine) Preferred() []string {
-	told := m.preferredHere()
+	preferred := m.preferredInZone()
 	outside := 0
 	for _, candidate := range m.ranked {
-		if candidate.zone != m.config.Zone && m.fast[candidate.address] && outside < preferredNodes {
-			told = append(told, candidate.address)
+		if candidate.zone != m.config.Zone && m.fastNodes[candidate.address] && outside < maxPreferred {
+			preferred = append(preferred, candidate.address)
 			outside++
 		}
 	}
-	return told
+	return preferred
 }
 
-// fastOutside is a trusted fast node of another zone, "" if none is known.
-func (m *Machine) fastOutside(now time.Time) string {
+// fastNodeInOtherZone returns an eligible fast node of another zone, "" if none is known.
+func (m *Machine) fastNodeInOtherZone(now time.Time) string {
 	for _, candidate := range m.ranked {
-		if candidate.zone != m.config.Zone && m.fast[candidate.address] && m.trusts(candidate.address, now) {
+		if candidate.zone != m.config.Zone && m.fastNodes[candidate.address] && m.isEligible(candidate.address, now) {
 			return candidate.address
 		}
 	}
 	return ""
 }
 
-// formerReader is the node that reads where nobody knows that this one is preferred, "" if
-// this one is not.
-func (m *Machine) formerReader() string {
-	if !slices.Contains(m.preferredHere(), m.config.Self) {
+// readerWithoutPreference returns the node that reads the store as long as the zone does not know
+// that this node is preferred, "" if this node is not.
+func (m *Machine) readerWithoutPreference() string {
+	if !slices.Contains(m.preferredInZone(), m.config.Self) {
 		return ""
 	}
 	for _, candidate := range m.ranked {
--- a/internal/replication/region.go
+++ b/internal/replication/region.go
@@ -8,26 +8,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Where zones lie in several regions, the way to the store or to another region is long, a
-// call to the store is dear, and a zone of the same region is near. Then one node reads for
-// all: the first of the first zone of the first region. The first of each other zone follows
-// a node of the first zone of its region, and the first of that zone one of the first
-// region. The order of regions and zones is that of hashes of their names, the same on all
-// nodes.
+// If zones lie in several regions, round trips to the store or to another region are long and
+// calls to the store are expensive, while zones of one region are close to each other. Then one
+// node reads for all: the first node of the first zone of the first region. The first node of
+// each other zone follows a node of the first zone of its region, and the first node of that zone
+// follows a node of the first region. Regions and zones are ordered by hashes of their names, the
+// same on all nodes.
 //
-// Knowledge that all take from one reader grows old everywhere at once when it is silent. So
-// the first of each zone stands in before its zone turns elsewhere: it asks the store itself
-// and reads on, until another node is proven to read (see believe). One that the store
-// refuses turns to another region at that age.
+// If that one reader fails, all catalogs become stale at the same time. So the first node of each
+// zone acts as a backup reader before its zone looks for other nodes: it polls the store itself
+// and keeps reading until another node is proven to read (see onFreshUpdate). If the store
+// rejects it, it follows a node of another region at that age.
 
-// standInShare is the part of Config.Freshness from which on the first of a zone asks the
-// store itself: above the age between two answers that bring nothing (readWaitShare), by
-// which a slow store adds a sixth of Freshness at most, and below switchShare, so that its
-// zone hears of it before it turns elsewhere.
-const standInShare = 0.6
+// backupPollShare is the age, as a share of Config.Freshness, from which the first node of a zone
+// polls the store itself. It is above the age reached between two responses without changes
+// (longPollShare), to which a slow store adds at most a sixth of Freshness, and below
+// staleAgeShare, so that the zone gets the result before its nodes follow others.
+const backupPollShare = 0.6
 
-// severalRegions reports whether zones lie in more than one region.
-func severalRegions(regions map[string]string) bool {
+func hasSeveralRegions(regions map[string]string) bool {
 	var first string
 	for _, region := range regions {
 		if first != "" && region != first {
@@ -38,117 +37,119 @@
 	return false
 }
 
-// place tells where a zone comes among all, seen from this node.
-type place struct {
-	distance     int // 0: this node's zone; 1: of its region, or where there is but one; 2: of another region
+// zoneOrder is the sort key of a zone, as seen from this node.
+type zoneOrder struct {
+	distance     int // 0: this node's zone; 1: a zone of its region, or any other zone if there is one region; 2: a zone of another region
 	region, zone string
-	// The hashes of the names; 0 where there is one region, or none is known.
+	// Hashes of the names; 0 if there is one region or regions are unknown.
 	regionHash, zoneHash uint64
 }
 
-// placeOf returns a zone's place.
-func (m *Machine) placeOf(zone string) place {
-	at := place{distance: 1}
+func (m *Machine) orderOf(zone string) zoneOrder {
+	order := zoneOrder{distance: 1}
 	if zone == m.config.Zone {
-		at.distance = 0
+		order.distance = 0
 	}
-	if !m.regional {
-		return at
+	if !m.multiRegion {
+		return order
 	}
-	at.region, at.zone = m.config.Regions[zone], zone
-	at.regionHash, at.zoneHash = xxhash.Sum64String(at.region), xxhash.Sum64String(at.zone)
-	if at.region != m.config.Regions[m.config.Zone] {
-		at.distance = 2
+	order.region, order.zone = m.config.Regions[zone], zone
+	order.regionHash, order.zoneHash = xxhash.Sum64String(order.region), xxhash.Sum64String(order.zone)
+	if order.region != m.config.Regions[m.config.Zone] {
+		order.distance = 2
 	}
-	return at
+	return order
 }
 
-// comparePlaces orders zones by the hashes of their regions' and their own names: one that
-// is added or gone moves no other.
-func comparePlaces(a, b place) int {
+// compareZones orders zones by the hashes of their regions' and their own names. Adding or
+// removing a zone does not move any other.
+func compareZones(a, b zoneOrder) int {
 	return cmp.Or(
 		cmp.Compare(b.regionHash, a.regionHash), cmp.Compare(a.region, b.region),
 		cmp.Compare(b.zoneHash, a.zoneHash), cmp.Compare(a.zone, b.zone),
 	)
 }
 
-// heads reports whether no trusted node of this zone ranks before this one.
-func (m *Machine) heads(now time.Time) bool {
+// isZoneHead reports whether no eligible node of this zone ranks before this one.
+func (m *Machine) isZoneHead(now time.Time) bool {
 	for _, candidate := range m.ranked {
 		if candidate.zone != m.config.Zone || candidate.address == m.config.Self {
 			return true
 		}
-		if m.trusts(candidate.address, now) {
+		if m.isEligible(candidate.address, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// rankAbove returns the nodes of zones before this node's.
-func (m *Machine) rankAbove() []peer {
-	if !m.regional {
+// rankUpstream returns the nodes of zones ordered before this node's zone.
+func (m *Machine) rankUpstream() []peer {
+	if !m.multiRegion {
 		return nil
 	}
-	own := m.placeOf(m.config.Zone)
+	own := m.orderOf(m.config.Zone)
 	var above []peer
 	for _, candidate := range m.ranked {
-		if candidate.zone != m.config.Zone && comparePlaces(candidate.place, own) < 0 {
+		if candidate.zone != m.config.Zone && compareZones(candidate.order, own) < 0 {
 			above = append(above, candidate)
 		}
 	}
 	return above
 }
 
-// upstream is the node that the first of a zone follows while it serves: one of a zone
-// before its own in the region, else one of a region before its own. "" for all other
-// nodes, for the first of all, and where there is one region.
+// upstream returns the node that the first node of a zone follows while it serves: one of an
+// earlier zone of the region, else one of an earlier region. It is "" for all other nodes, for
+// the first node overall, and if there is only one region.
 func (m *Machine) upstream(now time.Time) string {
-	if len(m.above) == 0 || !m.heads(now) {
+	if len(m.upstreamPeers) == 0 || !m.isZoneHead(now) {
 		return ""
 	}
-	for _, candidate := range m.above {
-		if m.trusts(candidate.address, now) {
+	for _, candidate := range m.upstreamPeers {
+		if m.isEligible(candidate.address, now) {
 			return candidate.address
 		}
 	}
 	return ""
 }
 
-// standsIn reports whether this node is to ask the store although another one reads it.
-func (m *Machine) standsIn(now time.Time) bool {
-	if !m.regional || !m.heads(now) {
+// isBackupReader reports whether this node should poll the store although another node is the
+// reader.
+func (m *Machine) isBackupReader(now time.Time) bool {
+	if !m.multiRegion || !m.isZoneHead(now) {
 		return false
 	}
 	age, known := m.Age(now)
-	return known && age > m.share(standInShare)
+	return known && age > m.share(backupPollShare)
 }
 
-// returns reports whether this node is to find out whether the store serves it again: it
-// would read for all, and lives on another region's news since the store refused it.
-func (m *Machine) returns(now time.Time) bool {
-	return m.regional && m.failures > 0 && m.heads(now) && m.upstream(now) == ""
+// probesStore reports whether this node should test if the store serves it again: it would be the
+// reader for all, but follows another region because the store rejected its polls.
+func (m *Machine) probesStore(now time.Time) bool {
+	return m.multiRegion && m.failures > 0 && m.isZoneHead(now) && m.upstream(now) == ""
 }
 
-// staleShare is the part of Config.Freshness from which on this node follows another one.
-func (m *Machine) staleShare(now time.Time) float64 {
-	if m.failures > 0 && m.standsIn(now) {
-		return standInShare
+// staleThresholdShare returns the age, as a share of Config.Freshness, from which this node
+// follows another one.
+func (m *Machine) staleThresholdShare(now time.Time) float64 {
+	if m.failures > 0 && m.isBackupReader(now) {
+		return backupPollShare
 	}
-	return switchShare
+	return staleAgeShare
 }
 
-// outside returns the nodes of other zones: those of other regions apart and first, since
-// the zones of a region learn from the same node.
-func (m *Machine) outside() [][]peer {
+// otherZonePeers returns the nodes of other zones in groups, those of other regions first: the
+// zones of one region get their updates from the same node, so a node of another region is more
+// likely to be fresh.
+func (m *Machine) otherZonePeers() [][]peer {
 	first := slices.IndexFunc(m.ranked, func(candidate peer) bool { return candidate.zone != m.config.Zone })
 	if first < 0 {
 		return nil
 	}
 	others := m.ranked[first:]
-	far := slices.IndexFunc(others, func(candidate peer) bool { return candidate.place.distance > 1 })
-	if far < 0 {
+	otherRegions := slices.IndexFunc(others, func(candidate peer) bool { return candidate.order.distance > 1 })
+	if otherRegions < 0 {
 		return [][]peer{others}
 	}
-	return [][]peer{others[far:], others[:far]}
+	return [][]peer{others[otherRegions:], others[:otherRegions]}
 }
--- a/internal/replication/start_test.go
+++ b/internal/replication/start_test.go
@@ -10,9 +10,9 @@
 	"sliphead/internal/catalog"
 )
 
-// A mesh that starts for the first time is recorded worker by worker. Until its nodes
-// know of each other each reads the store, but not after every record.
-func TestFirstStartAsksLittle(t *testing.T) {
+// When a mesh starts for the first time, its workers are recorded one by one. Until its nodes
+// know of each other, each of them polls the store, but not after every record.
+func TestFirstStartPollsLittle(t *testing.T) {
 	f := newFleet(0, 0)
 	const zones, perZone = 3, 16
 	for zone := range zones {
@@ -28,31 +28,32 @@
 		f.run(tickStep)
 	}
 	f.run(2 * time.Second)
-	t.Log("calls", f.calls)
-	must.Less(t, 6*zones*perZone, f.calls) // a question for all, and few for changes
+	t.Log("polls", f.polls)
+	must.Less(t, 6*zones*perZone, f.polls) // one poll for a snapshot each, and few for changes
 	for _, node := range f.nodes {
 		must.Eq(t, f.revision, node.machine.State().Revision())
 	}
 }
 
-// After a pause, news that waited for this node is as old as the pause, and so is what the
-// store answered to a question from before it. The store is asked at once.
-func TestWhatWaitedThroughAPauseIsOld(t *testing.T) {
+// After a pause of the process, an update that was queued counts as old as the pause, and a
+// response to a poll from before the pause confirms only the time of that poll. The store is
+// polled at once.
+func TestMessagesQueuedDuringPauseCountAsOld(t *testing.T) {
 	const pause = 8 * time.Second
-	began := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
-	m := New(Config{Self: "10.0.0.1", Zone: "z", Freshness: 2 * time.Second}, began)
-	m.Step(Tick{}, began)
-	m.Step(StoreAnswered{Batch: catalog.Batch{To: 5, Whole: true}, ConfirmedAt: began}, began)
-	asked := m.askedAt
-	woken := began.Add(pause)
-	m.Step(StoreAnswered{Batch: catalog.Batch{From: 5, To: 5}, ConfirmedAt: woken}, woken)
+	started := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+	m := New(Config{Self: "10.0.0.1", Zone: "z", Freshness: 2 * time.Second}, started)
+	m.Step(Tick{}, started)
+	m.Step(PollSucceeded{Batch: catalog.Batch{To: 5, Whole: true}, ConfirmedAt: started}, started)
+	asked := m.polledAt
+	resumed := started.Add(pause)
+	m.Step(PollSucceeded{Batch: catalog.Batch{From: 5, To: 5}, ConfirmedAt: resumed}, resumed)
 	must.Eq(t, asked, m.Confirmed())
-	must.True(t, m.asking, must.Sprint("asks at once"))
+	must.True(t, m.polling, must.Sprint("polls at once"))
 
 	m.following = "10.0.0.2"
-	m.onNews(News{From: "10.0.0.2", Reader: "10.0.0.2", Batch: catalog.Batch{From: 5, To: 5}, Age: 50 * time.Millisecond}, woken)
-	must.Eq(t, asked, m.Confirmed(), must.Sprint("news that may have waited"))
-	later := woken.Add(time.Second)
-	m.onNews(News{From: "10.0.0.2", Reader: "10.0.0.2", Batch: catalog.Batch{From: 5, To: 5}, Age: 50 * time.Millisecond}, later)
+	m.onUpdate(Update{From: "10.0.0.2", Reader: "10.0.0.2", Batch: catalog.Batch{From: 5, To: 5}, Age: 50 * time.Millisecond}, resumed)
+	must.Eq(t, asked, m.Confirmed(), must.Sprint("update that may have been queued"))
+	later := resumed.Add(time.Second)
+	m.onUpdate(Update{From: "10.0.0.2", Reader: "10.0.0.2", Batch: catalog.Batch{From: 5, To: 5}, Age: 50 * time.Millisecond}, later)
 	must.Eq(t, later.Add(-50*time.Millisecond), m.Confirmed())
 }
--- a/internal/replicator/age_test.go
+++ b/internal/replicator/age_test.go
@@ -25,11 +25,11 @@
 	})
 	must.Eq(t, 0, r.Age())
 	change := catalog.Change{Revision: 5, Instance: &catalog.Instance{ID: "i-1", Address: "10.0.0.1:80"}}
-	r.step(t.Context(), replication.StoreAnswered{Batch: catalog.Batch{To: 5, Whole: true, Changes: []catalog.Change{change}}, ConfirmedAt: now})
+	r.step(t.Context(), replication.PollSucceeded{Batch: catalog.Batch{To: 5, Whole: true, Changes: []catalog.Change{change}}, ConfirmedAt: now})
 	now = now.Add(300 * time.Millisecond)
 	must.Eq(t, 300*time.Millisecond, r.Age())
 	change = catalog.Change{Revision: 6, Instance: &catalog.Instance{ID: "i-2", Address: "10.0.0.2:80"}}
-	r.step(t.Context(), replication.StoreAnswered{Batch: catalog.Batch{From: 5, To: 6, Changes: []catalog.Change{change}}, ConfirmedAt: now.Add(-100 * time.Millisecond)})
+	r.step(t.Context(), replication.PollSucceeded{Batch: catalog.Batch{From: 5, To: 6, Changes: []catalog.Change{change}}, ConfirmedAt: now.Add(-100 * time.Millisecond)})
 	must.Eq(t, 100*time.Millisecond, r.Age())
 	must.Eq(t, []time.Duration{0, 300 * time.Millisecond}, atChange)
 }
--- a/internal/replicator/question_test.go
+++ b/internal/replicator/question_test.go
@@ -47,9 +47,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Config{Address: "10.0.0.1", Freshness: time.Second, Store: store, Problem: func(error) {}, Now: time.Now})
 		asked := time.Now()
-		r.question(t.Context(), replication.Ask{After: 7})
+		r.question(t.Context(), replication.Poll{After: 7})
 		event, took = <-r.inputs, time.Since(asked)
-		if answered, ok := event.(replication.StoreAnswered); ok {
+		if answered, ok := event.(replication.PollSucceeded); ok {
 			must.Eq(t, asked.Add(store.begins), answered.ConfirmedAt)
 		}
 	})
@@ -60,7 +60,7 @@
 // to come, and the changes of that time counted as known: others asked too late.
 func TestAnswerConfirmsAsOfItsBegin(t *testing.T) {
 	event, took := ask(t, slowStore{begins: 100 * time.Millisecond, takes: 500 * time.Millisecond})
-	answered, ok := event.(replication.StoreAnswered)
+	answered, ok := event.(replication.PollSucceeded)
 	must.True(t, ok)
 	must.Eq(t, 8, answered.Batch.To)
 	must.Eq(t, 600*time.Millisecond, took)
@@ -70,11 +70,11 @@
 // first one is silence.
 func TestQuestionsAreBounded(t *testing.T) {
 	event, took := ask(t, slowStore{begins: time.Hour})
-	must.True(t, event.(replication.StoreFailed).Silent)
+	must.True(t, event.(replication.PollFailed).TimedOut)
 	must.Eq(t, 200*time.Millisecond, took)
 	event, took = ask(t, slowStore{begins: 100 * time.Millisecond, takes: time.Hour})
-	must.False(t, event.(replication.StoreFailed).Silent)
+	must.False(t, event.(replication.PollFailed).TimedOut)
 	must.Eq(t, 700*time.Millisecond, took)
 	event, _ = ask(t, slowStore{err: errors.New("refused")})
-	must.False(t, event.(replication.StoreFailed).Silent)
+	must.False(t, event.(replication.PollFailed).TimedOut)
 }
--- a/internal/replicator/replicator.go
+++ b/internal/replicator/replicator.go
@@ -167,9 +167,9 @@
 // count counts the questions to the store.
 func (r *Replicator) count(event replication.Event) {
 	switch event.(type) {
-	case replication.StoreAnswered, replication.RecordAnswered:
+	case replication.PollSucceeded, replication.RecordChecked:
 		r.answered++
-	case replication.StoreFailed, replication.RecordFailed:
+	case replication.PollFailed, replication.RecordCheckFailed:
 		r.failed++
 	}
 }
@@ -185,7 +185,7 @@
 		r.step(ctx, replication.PeerLost{Address: message.stream.address})
 		return
 	}
-	r.step(ctx, replication.News{From: message.stream.address, Reader: message.news.Reader, Serial: message.news.Serial, Batch: message.news.Batch, Age: message.news.Age, Preferred: message.news.Preferred})
+	r.step(ctx, replication.Update{From: message.stream.address, Reader: message.news.Reader, Serial: message.news.Serial, Batch: message.news.Batch, Age: message.news.Age, Preferred: message.news.Preferred})
 }
 
 // passConfirmation tells followers at once that the store has confirmed what
@@ -199,9 +199,9 @@
 func (r *Replicator) step(ctx context.Context, event replication.Event) {
 	for _, effect := range r.machine.Step(event, r.config.Now()) {
 		switch effect := effect.(type) {
-		case replication.Ask:
+		case replication.Poll:
 			go r.question(ctx, effect)
-		case replication.AskRecord:
+		case replication.CheckRecord:
 			go r.askRecord(ctx, effect.ID)
 		case replication.Follow:
 			r.follow(ctx, effect.Address)
@@ -220,7 +220,7 @@
 }
 
 // question asks the store and hands the answer to the owner.
-func (r *Replicator) question(ctx context.Context, ask replication.Ask) {
+func (r *Replicator) question(ctx context.Context, ask replication.Poll) {
 	bounded, cancel := context.WithCancel(ctx)
 	defer cancel()
 	limit := time.AfterFunc(r.timeout(ask), cancel)
@@ -234,7 +234,7 @@
 	})
 	if err != nil {
 		silent := began.IsZero() && bounded.Err() != nil
-		r.submit(ctx, replication.StoreFailed{Err: err, HistoryGone: errors.Is(err, ErrHistoryGone), Silent: silent})
+		r.submit(ctx, replication.PollFailed{Err: err, HistoryGone: errors.Is(err, ErrHistoryGone), TimedOut: silent})
 		return
 	}
 	if r.config.Received != nil {
@@ -242,7 +242,7 @@
 	}
 	// What was written while the answer was on its way is not in it: the store had
 	// nothing newer when it began.
-	r.submit(ctx, replication.StoreAnswered{Batch: answer.Batch(r.config.Problem), ConfirmedAt: began})
+	r.submit(ctx, replication.PollSucceeded{Batch: answer.Batch(r.config.Problem), ConfirmedAt: began})
 }
 
 // askRecord asks the store for one record and tells the owner whether it answered.
@@ -250,17 +250,17 @@
 	bounded, cancel := context.WithTimeout(ctx, r.share(recordTimeout))
 	defer cancel()
 	if _, err := r.config.Store.Recorded(bounded, id); err != nil {
-		r.submit(ctx, replication.RecordFailed{ID: id})
+		r.submit(ctx, replication.RecordCheckFailed{ID: id})
 		return
 	}
-	r.submit(ctx, replication.RecordAnswered{ID: id})
+	r.submit(ctx, replication.RecordChecked{ID: id})
 }
 
 // timeout bounds the wait for the first sign of an answer. A long answer then takes
 // its time: on a narrow link that says nothing of the store.
-func (r *Replicator) timeout(ask replication.Ask) time.Duration {
+func (r *Replicator) timeout(ask replication.Poll) time.Duration {
 	switch {
-	case !ask.Whole:
+	case !ask.Snapshot:
 		return ask.Wait + r.share(answerTimeout)
 	case ask.After == 0:
 		return r.share(firstTimeout)
@@ -269,8 +269,8 @@
 	}
 }
 
-func (r *Replicator) ask(ctx context.Context, ask replication.Ask, began func()) (catalog.Answer, error) {
-	if ask.Whole {
+func (r *Replicator) ask(ctx context.Context, ask replication.Poll, began func()) (catalog.Answer, error) {
+	if ask.Snapshot {
 		return r.config.Store.Whole(ctx, began)
 	}
 	return r.config.Store.Changes(ctx, ask.After, ask.Wait, began)
