--- a/internal/replicator/age.go
+++ b/internal/replicator/age.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Age returns how long ago the store was last known to have nothing newer than what is in
-// force at this node, 0 while nothing is. Any goroutine may ask; it does not wait.
+// Age returns how long ago the store last confirmed that it had nothing newer than the catalog in
+// force at this node, 0 while the catalog is empty. It does not block and is safe for concurrent
+// use.
 func (r *Replicator) Age() time.Duration {
 	confirmed := r.confirmed.Load()
 	if confirmed == nil {
@@ -12,10 +13,10 @@
 	return r.config.Now().Sub(*confirmed)
 }
 
-// noteConfirmed lets Age know when the store last confirmed what is known.
-func (r *Replicator) noteConfirmed() {
+// publishConfirmed updates the confirmation time that Age reads.
+func (r *Replicator) publishConfirmed() {
 	confirmed := r.machine.Confirmed()
-	if held := r.confirmed.Load(); confirmed.IsZero() || held != nil && held.Equal(confirmed) {
+	if published := r.confirmed.Load(); confirmed.IsZero() || published != nil && published.Equal(confirmed) {
 		return
 	}
 	r.confirmed.Store(&confirmed)
--- a/internal/replicator/age_test.go
+++ b/internal/replicator/age_test.go
@@ -12,14 +12,14 @@
 	"sliphead/internal/replication"
 )
 
-// Knowledge is as old as the store's last confirmation, and no fresher than what is in
-// force: as long as a change is only being put in force, the age is that of before.
-func TestAgeOfWhatIsInForce(t *testing.T) {
+// Age counts from the store's last confirmation of the catalog in force: while a change is still
+// being applied, the age is that of the previous catalog.
+func TestAgeIsThatOfAppliedState(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r *Replicator
 	var atChange []time.Duration
 	r = New(Config{
-		Address: "10.0.0.1", Zone: "z", Freshness: time.Second, Store: slowStore{err: ErrHistoryGone, begins: time.Hour}, Problem: func(error) {},
+		Address: "10.0.0.1", Zone: "z", Freshness: time.Second, Store: slowStore{err: ErrHistoryGone, responseDelay: time.Hour}, Problem: func(error) {},
 		Changed: func(*catalog.State, []replication.Lapse) { atChange = append(atChange, r.Age()) },
 		Retain:  func(bool) {}, Logger: &log.Logger{Handler: discard.Default}, Now: func() time.Time { return now },
 	})
--- a/internal/replicator/announce.go
+++ b/internal/replicator/announce.go
@@ -10,37 +10,37 @@
 	"sliphead/internal/replication"
 )
 
-// A node that starts while the store is away knows no other node. Whoever had a
-// stream to or from it announces itself at once and again: it opens a connection to say that
-// it is there. That finds it sooner than the announcements in turn of replication.Announce,
-// which also reach nodes to which there was no stream.
+// A node that starts while the store is unreachable knows no other node. So after a stream
+// between two nodes is lost, the remaining node announces itself repeatedly, by opening a
+// connection. This reaches the restarted node sooner than the rotating announcements of
+// replication.Announce, which in turn reach nodes without a previous stream.
 
-// Shares of Config.Freshness, and the number of announcements to one node.
+// Durations as shares of Config.Freshness, and the maximum number of announcements to one node.
 const (
-	firstAnnounceShare = 0.15
-	mostAnnounceShare  = 1.0
-	mostAnnouncements  = 12
+	minAnnounceShare = 0.15
+	maxAnnounceShare = 1.0
+	maxAnnouncements = 12
 )
 
-// announceLater announces this node to one whose stream was lost until it is there, unless
-// that is being done already. Only the owner calls it.
-func (r *Replicator) announceLater(ctx context.Context, address string) {
+// announceRepeatedly announces this node to one whose stream was lost, until it is reached,
+// unless this is already under way. Only the owner goroutine calls it.
+func (r *Replicator) announceRepeatedly(ctx context.Context, address string) {
 	if r.announcing[address] {
 		return
 	}
 	r.announcing[address] = true
 	go func() {
-		r.announceUntilThere(ctx, address)
-		r.submit(ctx, announced{address})
+		r.announceUntilReached(ctx, address)
+		r.submit(ctx, announcementsEnded{address})
 	}()
 }
 
-// announced tells the owner that a node is sent no more announcements.
-type announced struct{ address string }
+// announcementsEnded reports to the owner that no more announcements are sent to a node.
+type announcementsEnded struct{ address string }
 
-func (r *Replicator) announceUntilThere(ctx context.Context, address string) {
-	wait := r.share(firstAnnounceShare)
-	for range mostAnnouncements {
+func (r *Replicator) announceUntilReached(ctx context.Context, address string) {
+	wait := r.share(minAnnounceShare)
+	for range maxAnnouncements {
 		select {
 		case <-ctx.Done():
 			return
@@ -49,22 +49,21 @@
 		if r.announce(ctx, replication.Announce{Address: address}) {
 			return
 		}
-		wait = min(2*wait, r.share(mostAnnounceShare))
+		wait = min(2*wait, r.share(maxAnnounceShare))
 	}
 }
 
-// announce reports whether the node was there.
-func (r *Replicator) announce(ctx context.Context, at replication.Announce) bool {
-	conn, err := r.dial(ctx, at.Address)
+// announce sends an announcement and reports whether the node was reached.
+func (r *Replicator) announce(ctx context.Context, announcement replication.Announce) bool {
+	conn, err := r.dial(ctx, announcement.Address)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = conn.Close() }()
-	return json.NewEncoder(conn).Encode(hello{From: r.config.Address, Announce: true, Fast: r.config.Fast, Preferred: at.Preferred}) == nil
+	return json.NewEncoder(conn).Encode(hello{From: r.config.Address, Announce: true, Fast: r.config.Fast, Preferred: announcement.Preferred}) == nil
 }
 
-// dial opens a connection to another node's peer listener.
 func (r *Replicator) dial(ctx context.Context, address string) (net.Conn, error) {
-	dialer := liveness.Dialer(net.ParseIP(r.config.Listen), r.share(silence))
+	dialer := liveness.Dialer(net.ParseIP(r.config.Listen), r.share(dialTimeoutShare))
 	return dialer.DialContext(ctx, "tcp", net.JoinHostPort(address, r.config.Port))
 }
--- a/internal/replicator/packing_test.go
+++ b/internal/replicator/encoding_test.go
@@ -11,8 +11,7 @@
 	"sliphead/internal/catalog"
 )
 
-// manyRoutes is a batch that adds routes, as an operator's change of a thousand
-// routes is passed on.
+// manyRoutes returns a batch that adds routes, as relayed after a change of a thousand routes.
 func manyRoutes(count int) catalog.Batch {
 	difference := &catalog.Difference{From: 1, To: 2}
 	for index := range count {
@@ -26,34 +25,34 @@
 	return catalog.Batch{From: 7, To: 8, Changes: []catalog.Change{{Revision: 8, Difference: difference}}}
 }
 
-func TestNewsArrivesAsSent(t *testing.T) {
-	for _, sent := range []news{
+func TestUpdateRoundTrip(t *testing.T) {
+	for _, sent := range []update{
 		{Age: time.Second},
 		{Batch: manyRoutes(1), Age: time.Millisecond},
 		{Batch: manyRoutes(1000)},
 	} {
 		line, err := json.Marshal(sent)
 		must.NoError(t, err)
-		var read news
+		var read update
 		must.NoError(t, json.Unmarshal(line, &read))
 		must.Eq(t, sent, read)
 	}
 }
 
-// A thousand routes went out as 200 kB to each follower, which held up the
-// requests on a link of 10 Mbit/s for seconds.
-func TestLargeNewsIsPacked(t *testing.T) {
+// Without compression, a thousand routes took 200 kB per follower, which delayed requests on a
+// link of 10 Mbit/s for seconds.
+func TestLargeUpdateIsCompressed(t *testing.T) {
 	const bytesPerRoute = 35
-	line, err := json.Marshal(news{Batch: manyRoutes(1000)})
+	line, err := json.Marshal(update{Batch: manyRoutes(1000)})
 	must.NoError(t, err)
 	must.Less(t, 1000*bytesPerRoute, len(line))
 }
 
-func TestBadNewsIsRefused(t *testing.T) {
+func TestMalformedUpdateIsRejected(t *testing.T) {
 	for _, line := range []string{
 		`{"packed":"AAAA","age":0}`, `{"age":1}`, `{"batch":7,"age":0}`, `{"batch":{},"age":"x"}`, `[]`,
 	} {
-		var read news
+		var read update
 		must.Error(t, json.Unmarshal([]byte(line), &read), must.Sprint(line))
 	}
 }
--- a/internal/replicator/replicator.go
+++ b/internal/replicator/replicator.go
@@ -1,6 +1,6 @@
-// Package replicator runs a node's replication: one goroutine owns the pure
-// machine, asks the store, follows another node and passes on to followers what
-// it learns. Nothing else writes that state.
+// Package replicator runs a node's replication: a single goroutine owns the pure machine, polls
+// the store, follows another node and relays updates to its followers. Nothing else writes that
+// state.
 package replicator
 
 import (
@@ -21,77 +21,74 @@
 	"sliphead/internal/replication"
 )
 
-// ErrHistoryGone is what a Store's Changes returns when the store no longer
-// knows the changes after the revision that was asked for.
-var ErrHistoryGone = errors.New("the store has dropped its history")
+// ErrHistoryGone is returned by Store.Changes if the store no longer has the changes after the
+// requested revision.
+var ErrHistoryGone = errors.New("the store no longer has the requested history")
 
-// Store is a linearizable store of which this system only reads.
+// Store is a linearizable store. The replicator only reads it.
 type Store interface {
-	// Whole returns everything that there is. Began is called when an answer begins
-	// to come.
+	// Whole returns a full snapshot. It calls began when the response begins to arrive.
 	Whole(ctx context.Context, began func()) (catalog.Answer, error)
-	// Changes returns the changes after a revision, once there is one or the
-	// wait is over. The error is ErrHistoryGone when they are not known. Began is
-	// called when the answer begins to come.
+	// Changes returns the changes after a revision; if there are none, it waits for the first
+	// one, up to the given time. It returns ErrHistoryGone if these changes are no longer
+	// available. It calls began when the response begins to arrive.
 	Changes(ctx context.Context, after uint64, wait time.Duration, began func()) (catalog.Answer, error)
-	// Recorded reports whether there is a record of an instance.
+	// Recorded reports whether an instance has a record.
 	Recorded(ctx context.Context, id string) (bool, error)
 }
 
-// Config is what a replicator is made of. All fields but Fast and Regions are required.
+// Config configures a Replicator. All fields but Regions, Fast, Received and Now are required.
 type Config struct {
-	Address   string            // IP address by which other nodes reach this one
-	Port      string            // of the peer listener, the same on all nodes
-	Listen    string            // IP address of the peer listener and of this node's connections
-	Zone      string            //
-	Regions   map[string]string // by zone; nil where they are not known
+	Address   string // IP address by which other nodes reach this one
+	Port      string // of the peer listener, the same on all nodes
+	Listen    string // IP address of the peer listener and of this node's connections
+	Zone      string
+	Regions   map[string]string // by zone; nil if unknown
 	Freshness time.Duration     // the age within which a change has to be known
-	Fast      bool              // whether this node's link is fast (replication.FastLink); false where not known
+	Fast      bool              // whether this node's link is fast (replication.FastLink); false if unknown
 	Store     Store
-	Problem   func(error) // told of items of the store that can't be used
+	Problem   func(error) // called with the error for each item of the store that can't be used
 	Logger    log.Interface
-	// Changed is called with the state after each change, and with the instances
-	// whose records are gone. The owner's goroutine waits for it, and the state must
-	// not be kept.
+	// Changed is called after each change with the state and the instances whose records have
+	// expired. It blocks the owner goroutine, and must not retain the state.
 	Changed func(*catalog.State, []replication.Lapse)
-	// Retain is called when this node begins or ends to answer for a worker without
-	// a record.
+	// Retain is called when this node starts or stops vouching for a worker without a record.
 	Retain func(bool)
-	// Received is told how many bytes an answer of the store took. It must not wait;
-	// nil: nobody asks.
+	// Received is called with the size of each store response, in bytes. It must not block; nil:
+	// not called.
 	Received func(bytes int)
-	// Now is the clock by which ages count; nil: that of package clock, since knowledge ages
-	// while the machine is suspended, too.
+	// Now is the clock used for ages. The default is that of package clock, because the catalog
+	// also ages while the machine is suspended.
 	Now func() time.Time
 }
 
-// Shares of Config.Freshness.
+// Durations as shares of Config.Freshness.
 const (
-	tickShare     = 0.04
-	beatShare     = 0.12 // between two messages to a follower
-	answerTimeout = 0.2  // for an answer of the store, beyond the wait asked for
-	wholeTimeout  = 0.6  // for the whole
-	firstTimeout  = 1.0  // for the whole while nothing is known
-	recordTimeout = 0.3  // for one record
+	tickShare                 = 0.04
+	heartbeatShare            = 0.12 // interval between messages to followers
+	responseTimeoutShare      = 0.2  // for a response of the store, beyond the requested wait
+	snapshotTimeoutShare      = 0.6  // for a full snapshot
+	firstSnapshotTimeoutShare = 1.0  // for a full snapshot while the catalog is empty
+	recordTimeoutShare        = 0.3  // for a single record
 )
 
 const inputQueue = 256
 
-// Replicator is one node's part in replication.
+// Replicator runs the replication of one node.
 type Replicator struct {
-	config           Config
-	machine          *replication.Machine
-	inputs           chan any
-	followers        map[*follower]struct{}
-	beat             time.Time // when followers were last written to
-	stream           *stream   // the node that is followed, nil for none
-	encoded          encodedNews
-	answered, failed uint64                    // questions to the store
-	announcing       map[string]bool           // by address: nodes that are sent announcements
-	confirmed        atomic.Pointer[time.Time] // when the store was last known to have nothing newer; nil while nothing is known
+	config            Config
+	machine           *replication.Machine
+	inputs            chan any
+	followers         map[*follower]struct{}
+	lastSent          time.Time // when the followers were last sent a message
+	stream            *stream   // from the followed node, nil for none
+	lastEncoded       encodedUpdate
+	succeeded, failed uint64                    // store calls
+	announcing        map[string]bool           // by address: nodes to which announcements are being sent
+	confirmed         atomic.Pointer[time.Time] // when the store last confirmed the catalog in force; nil while the catalog is empty
 }
 
-// New returns a replicator that knows nothing yet.
+// New returns a replicator with an empty catalog.
 func New(config Config) *Replicator {
 	if config.Now == nil {
 		config.Now = clock.Now
@@ -100,7 +97,8 @@
 	return &Replicator{config: config, machine: machine, inputs: make(chan any, inputQueue), followers: map[*follower]struct{}{}, announcing: map[string]bool{}}
 }
 
-// Seen tells that a node has spoken to this one. It does not wait.
+// Seen reports that another node has contacted this one. It does not block: if the queue is full,
+// the report is dropped.
 func (r *Replicator) Seen(address string) {
 	select {
 	case r.inputs <- replication.PeerSeen{Address: address}:
@@ -119,14 +117,14 @@
 	defer stop()
 	group.Go(func() error { return r.accept(ctx, listener) })
 	group.Go(func() error {
-		r.own(ctx)
+		r.runOwner(ctx)
 		return nil
 	})
 	return group.Wait()
 }
 
-// own is the goroutine that owns the state.
-func (r *Replicator) own(ctx context.Context) {
+// runOwner runs the goroutine that owns the state.
+func (r *Replicator) runOwner(ctx context.Context) {
 	ticker := time.NewTicker(r.share(tickShare))
 	defer ticker.Stop()
 	defer r.closeAll()
@@ -137,7 +135,7 @@
 			return
 		case <-ticker.C:
 			r.step(ctx, replication.Tick{})
-			r.beatIfDue()
+			r.heartbeatIfDue()
 		case input := <-r.inputs:
 			r.handle(ctx, input)
 		}
@@ -147,52 +145,51 @@
 func (r *Replicator) handle(ctx context.Context, input any) {
 	switch input := input.(type) {
 	case replication.Event:
-		r.count(input)
+		r.countStoreCalls(input)
 		before := r.machine.Confirmed()
 		r.step(ctx, input)
-		r.passConfirmation(before)
+		r.sendConfirmation(before)
 	case *follower:
-		r.admit(input)
+		r.addFollower(input)
 	case followerLost:
-		r.lost(ctx, input.follower)
-	case announced:
+		r.onFollowerLost(ctx, input.follower)
+	case announcementsEnded:
 		delete(r.announcing, input.address)
 	case streamMessage:
-		r.receive(ctx, input)
+		r.onStreamMessage(ctx, input)
 	case statusRequest:
 		input.reply <- r.status()
 	}
 }
 
-// count counts the questions to the store.
-func (r *Replicator) count(event replication.Event) {
+func (r *Replicator) countStoreCalls(event replication.Event) {
 	switch event.(type) {
 	case replication.PollSucceeded, replication.RecordChecked:
-		r.answered++
+		r.succeeded++
 	case replication.PollFailed, replication.RecordCheckFailed:
 		r.failed++
 	}
 }
 
-// receive passes on what the followed node said. What a former stream had left
-// in the queue is passed over.
-func (r *Replicator) receive(ctx context.Context, message streamMessage) {
+// onStreamMessage passes an update from the followed node to the machine. Messages of an earlier
+// stream that are still queued are ignored.
+func (r *Replicator) onStreamMessage(ctx context.Context, message streamMessage) {
 	if message.stream != r.stream {
 		return
 	}
 	if message.lost {
-		r.announceLater(ctx, message.stream.address)
+		r.announceRepeatedly(ctx, message.stream.address)
 		r.step(ctx, replication.PeerLost{Address: message.stream.address})
 		return
 	}
-	r.step(ctx, replication.Update{From: message.stream.address, Reader: message.news.Reader, Serial: message.news.Serial, Batch: message.news.Batch, Age: message.news.Age, Preferred: message.news.Preferred})
+	r.step(ctx, replication.Update{From: message.stream.address, Reader: message.update.Reader, Serial: message.update.Serial, Batch: message.update.Batch, Age: message.update.Age, Preferred: message.update.Preferred})
 }
 
-// passConfirmation tells followers at once that the store has confirmed what
-// they know: else their knowledge would seem older by the time between beats.
-func (r *Replicator) passConfirmation(before time.Time) {
+// sendConfirmation sends followers a new confirmation by the store at once; otherwise their
+// catalogs would appear older by up to a heartbeat interval.
+func (r *Replicator) sendConfirmation(before time.Time) {
 	if r.machine.Confirmed().After(before) {
-		r.tellFollowers()
+		r.sendToFollowers()
 	}
 }
 
@@ -200,14 +197,14 @@
 	for _, effect := range r.machine.Step(event, r.config.Now()) {
 		switch effect := effect.(type) {
 		case replication.Poll:
-			go r.question(ctx, effect)
+			go r.pollStore(ctx, effect)
 		case replication.CheckRecord:
-			go r.askRecord(ctx, effect.ID)
+			go r.checkRecord(ctx, effect.ID)
 		case replication.Follow:
 			r.follow(ctx, effect.Address)
 		case replication.Changed:
 			r.config.Changed(r.machine.State(), r.machine.Lapses())
-			r.tellFollowers()
+			r.sendToFollowers()
 		case replication.Announce:
 			go r.announce(ctx, effect)
 		case replication.Retain:
@@ -216,64 +213,65 @@
 			r.log(effect)
 		}
 	}
-	r.noteConfirmed() // now that what was learnt is in force
+	r.publishConfirmed() // only after the effects have put the change in force
 }
 
-// question asks the store and hands the answer to the owner.
-func (r *Replicator) question(ctx context.Context, ask replication.Poll) {
-	bounded, cancel := context.WithCancel(ctx)
+// pollStore polls the store and passes the result to the owner.
+func (r *Replicator) pollStore(ctx context.Context, poll replication.Poll) {
+	pollCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	limit := time.AfterFunc(r.timeout(ask), cancel)
-	defer limit.Stop()
-	var began time.Time // of the first answer
-	answer, err := r.ask(bounded, ask, func() {
-		if began.IsZero() {
-			began = r.config.Now()
-			limit.Reset(r.share(wholeTimeout))
+	timer := time.AfterFunc(r.timeout(poll), cancel)
+	defer timer.Stop()
+	var startedAt time.Time // when the response began to arrive
+	answer, err := r.fetch(pollCtx, poll, func() {
+		if startedAt.IsZero() {
+			startedAt = r.config.Now()
+			timer.Reset(r.share(snapshotTimeoutShare))
 		}
 	})
 	if err != nil {
-		silent := began.IsZero() && bounded.Err() != nil
+		silent := startedAt.IsZero() && pollCtx.Err() != nil
 		r.submit(ctx, replication.PollFailed{Err: err, HistoryGone: errors.Is(err, ErrHistoryGone), TimedOut: silent})
 		return
 	}
 	if r.config.Received != nil {
 		r.config.Received(answer.Bytes)
 	}
-	// What was written while the answer was on its way is not in it: the store had
-	// nothing newer when it began.
-	r.submit(ctx, replication.PollSucceeded{Batch: answer.Batch(r.config.Problem), ConfirmedAt: began})
+	// The response lacks what was written while it was in transit, so it confirms the state of
+	// the store at its start.
+	r.submit(ctx, replication.PollSucceeded{Batch: answer.Batch(r.config.Problem), ConfirmedAt: startedAt})
 }
 
-// askRecord asks the store for one record and tells the owner whether it answered.
-func (r *Replicator) askRecord(ctx context.Context, id string) {
-	bounded, cancel := context.WithTimeout(ctx, r.share(recordTimeout))
+// checkRecord requests one record from the store and reports to the owner whether the store
+// responded.
+func (r *Replicator) checkRecord(ctx context.Context, id string) {
+	checkCtx, cancel := context.WithTimeout(ctx, r.share(recordTimeoutShare))
 	defer cancel()
-	if _, err := r.config.Store.Recorded(bounded, id); err != nil {
+	if _, err := r.config.Store.Recorded(checkCtx, id); err != nil {
 		r.submit(ctx, replication.RecordCheckFailed{ID: id})
 		return
 	}
 	r.submit(ctx, replication.RecordChecked{ID: id})
 }
 
-// timeout bounds the wait for the first sign of an answer. A long answer then takes
-// its time: on a narrow link that says nothing of the store.
-func (r *Replicator) timeout(ask replication.Poll) time.Duration {
+// timeout bounds the wait for the start of a response. The rest of a long response may take
+// longer: on a narrow link a slow transfer does not show that the store is unreachable.
+func (r *Replicator) timeout(poll replication.Poll) time.Duration {
 	switch {
-	case !ask.Snapshot:
-		return ask.Wait + r.share(answerTimeout)
-	case ask.After == 0:
-		return r.share(firstTimeout)
+	case !poll.Snapshot:
+		return poll.Wait + r.share(responseTimeoutShare)
+	case poll.After == 0:
+		return r.share(firstSnapshotTimeoutShare)
 	default:
-		return r.share(wholeTimeout)
+		return r.share(snapshotTimeoutShare)
 	}
 }
 
-func (r *Replicator) ask(ctx context.Context, ask replication.Poll, began func()) (catalog.Answer, error) {
-	if ask.Snapshot {
+func (r *Replicator) fetch(ctx context.Context, poll replication.Poll, began func()) (catalog.Answer, error) {
+	if poll.Snapshot {
 		return r.config.Store.Whole(ctx, began)
 	}
-	return r.config.Store.Changes(ctx, ask.After, ask.Wait, began)
+	return r.config.Store.Changes(ctx, poll.After, poll.Wait, began)
 }
 
 func (r *Replicator) log(event replication.Log) {
@@ -305,7 +303,7 @@
 	logging.Event(r.config.Logger, string(event.Event), fields)
 }
 
-// submit hands an input to the owner and waits for room.
+// submit queues an input for the owner. It blocks while the queue is full, until ctx ends.
 func (r *Replicator) submit(ctx context.Context, input any) {
 	select {
 	case r.inputs <- input:
--- a/internal/replicator/status.go
+++ b/internal/replicator/status.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Status is what the replicator tells operators.
+// Status is the replication state reported to operators.
 type Status struct {
-	Era       uint64  `json:"era"` // how often the store has come back from a copy, as it counts; 0: not told
+	Era       uint64  `json:"era"` // incremented each time the store is restored from a backup; 0: unknown
 	Revision  uint64  `json:"revision"`
 	Version   uint64  `json:"version"` // of the configuration in force
 	AgeS      float64 `json:"ageSeconds"`
@@ -12,14 +12,15 @@
 	Following string  `json:"following,omitempty"`
 	Followers int     `json:"followers"`
 	Instances int     `json:"instances"`
-	Doubted   int     `json:"doubted,omitempty"` // records and orders of a copy of the store that are not followed yet
-	Answered  uint64  `json:"storeAnswers"`      // questions to the store that were answered
-	Failed    uint64  `json:"storeFailures"`     // and that were not
+	Doubted   int     `json:"doubted,omitempty"` // records and evacuation orders of a restored backup that are not applied yet
+	Answered  uint64  `json:"storeAnswers"`      // store calls that succeeded
+	Failed    uint64  `json:"storeFailures"`     // store calls that failed
 }
 
 type statusRequest struct{ reply chan Status }
 
-// Status returns the state of now, the zero Status when ctx ends before.
+// Status returns the current state, or the zero Status if ctx ends first. It is safe for
+// concurrent use.
 func (r *Replicator) Status(ctx context.Context) Status {
 	request := statusRequest{reply: make(chan Status, 1)}
 	r.submit(ctx, request)
@@ -42,7 +43,7 @@
 		Reader:    r.machine.Reader(now),
 		Following: r.machine.Following(),
 		Followers: len(r.followers),
-		Answered:  r.answered,
+		Answered:  r.succeeded,
 		Failed:    r.failed,
 		Instances: len(r.machine.State().Instances()),
 	}
