--- a/internal/catalog/difference.go
+++ b/internal/catalog/difference.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// Difference leads from one version of the configuration to a later one, so that
-// a change of one route does not carry all the others.
+// Difference leads from one version of the configuration to a later one, so that changing one
+// route does not transfer all the others.
 type Difference struct {
 	From     uint64             `json:"from"` // version
 	To       uint64             `json:"to"`
 	Put      []Route            `json:"put,omitempty"`
 	Remove   []string           `json:"remove,omitempty"` // names of routes
-	Services map[string]Service `json:"services"`         // nil: as before
+	Services map[string]Service `json:"services"`         // nil: unchanged
 	Limits   Limits             `json:"limits"`
-	Tenants  *TenantChange      `json:"tenants,omitempty"` // nil: as before
+	Tenants  *TenantChange      `json:"tenants,omitempty"` // nil: unchanged
 }
 
-// differenceOf returns what leads from one configuration to another.
-func differenceOf(from, to *Configuration) *Difference {
+// newDifference returns the difference between two configurations.
+func newDifference(from, to *Configuration) *Difference {
 	difference := &Difference{From: from.Version, To: to.Version, Limits: to.Limits}
 	before := make(map[string]*Route, len(from.Routes))
 	for index := range from.Routes {
@@ -23,7 +23,7 @@
 	}
 	for index := range to.Routes {
 		route := &to.Routes[index]
-		if held := before[route.Name]; held == nil || !held.equals(route) {
+		if previous := before[route.Name]; previous == nil || !previous.equals(route) {
 			difference.Put = append(difference.Put, *route)
 		}
 		delete(before, route.Name)
@@ -32,10 +32,10 @@
 		difference.Remove = append(difference.Remove, name)
 	}
 	slices.Sort(difference.Remove)
-	if !sameServices(from.Services, to.Services) {
+	if !equalServices(from.Services, to.Services) {
 		difference.Services = to.Services
 	}
-	difference.Tenants = tenantsChanged(from.Tenants, to.Tenants)
+	difference.Tenants = newTenantChange(from.Tenants, to.Tenants)
 	return difference
 }
 
@@ -45,20 +45,20 @@
 		r.MaxAttempts == other.MaxAttempts && r.Timeout == other.Timeout && r.Target == other.Target
 }
 
-func sameServices(from, to map[string]Service) bool {
+func equalServices(from, to map[string]Service) bool {
 	if len(from) != len(to) {
 		return false
 	}
 	for name, service := range to {
-		if held, known := from[name]; !known || held != service {
+		if current, known := from[name]; !known || current != service {
 			return false
 		}
 	}
 	return true
 }
 
-// applyTo returns the configuration that the difference leads to, nil when it
-// starts from another version.
+// applyTo returns the configuration that the difference leads to, nil if the difference starts
+// from another version.
 func (d *Difference) applyTo(from *Configuration) *Configuration {
 	if from == nil || from.Version != d.From {
 		return nil
--- a/internal/catalog/evacuation.go
+++ b/internal/catalog/evacuation.go
@@ -2,25 +2,26 @@
 
 import "slices"
 
-// evacuate takes in whether a zone is evacuated.
-func (s *State) evacuate(change Change) bool {
+// applyEvacuation applies the start or end of a zone's evacuation. It reports whether that
+// changes the evacuated zones.
+func (s *State) applyEvacuation(change Change) bool {
 	zone := change.Evacuation.Zone
 	before := s.isEvacuated(zone)
 	s.evacuations[zone] = evacuation{Evacuation: *change.Evacuation, revision: change.Revision}
-	delete(s.doubts.evacuations, zone)
+	delete(s.conflicts.evacuations, zone)
 	return s.isEvacuated(zone) != before
 }
 
-// isEvacuated reports whether a zone's workers are to be sent nothing.
+// isEvacuated reports whether a zone's workers get no requests.
 func (s *State) isEvacuated(zone string) bool {
-	if before, doubted := s.doubts.evacuations[zone]; doubted {
+	if before, inConflict := s.conflicts.evacuations[zone]; inConflict {
 		return before
 	}
-	told, known := s.evacuations[zone]
-	return known && !told.Ended
+	current, known := s.evacuations[zone]
+	return known && !current.Ended
 }
 
-// Evacuated returns the zones whose workers are to be sent nothing, sorted.
+// Evacuated returns the zones whose workers get no requests, sorted.
 func (s *State) Evacuated() []string {
 	var zones []string
 	for zone := range s.evacuations {
@@ -28,8 +29,8 @@
 			zones = append(zones, zone)
 		}
 	}
-	for zone, evacuated := range s.doubts.evacuations {
-		if _, told := s.evacuations[zone]; evacuated && !told {
+	for zone, evacuated := range s.conflicts.evacuations {
+		if _, present := s.evacuations[zone]; evacuated && !present {
 			zones = append(zones, zone)
 		}
 	}
--- a/internal/catalog/incarnation.go
+++ b/internal/catalog/incarnation.go
@@ -5,13 +5,13 @@
 	"strconv"
 )
 
-// maxDepartures bounds the incarnations that are remembered after their end. What a store
-// loses that comes back from a copy are some seconds, in which fewer workers leave.
+// maxDepartures bounds the tracked incarnations that have ended. A restore from a backup loses
+// some seconds of writes, in which fewer workers than that leave.
 const maxDepartures = 1024
 
-// Incarnation names one start of one worker: a worker that starts again may record itself
-// under the id that it had. What is known of the one before, such as its load, its rest from
-// the start or requests under which it ended, says nothing of the one after.
+// Incarnation identifies one start of one worker: a restarted worker may record itself under the
+// same id. What is known about an earlier incarnation, such as its load, its remaining cold start
+// or the requests that it crashed on, does not apply to a later one.
 func (i *Instance) Incarnation() string {
 	if i.Born == 0 {
 		return i.ID
@@ -19,17 +19,18 @@
 	return i.ID + "@" + strconv.FormatInt(i.Born, 36)
 }
 
-// departures remember how incarnations ended, for the time when a store comes back from a
-// copy in which they still stand as if nothing had happened.
+// departures tracks how incarnations have ended, in case the store is restored from a backup that
+// still lists them as running.
 type departures struct {
-	leaving map[string]bool // by incarnation: whether it has said that it leaves, which is final
+	leaving map[string]bool // by incarnation: whether it has announced that it leaves, which is final
 	order   []string        // oldest first
 }
 
 func newDepartures() departures { return departures{leaving: map[string]bool{}} }
 
-// note remembers that an incarnation's record is gone or was replaced, or that it leaves.
-func (d *departures) note(instance *Instance) {
+// record notes that an incarnation's record was removed or replaced, or that the incarnation is
+// leaving.
+func (d *departures) record(instance *Instance) {
 	name := instance.Incarnation()
 	before, known := d.leaving[name]
 	d.leaving[name] = before || instance.Draining
@@ -43,9 +44,9 @@
 	}
 }
 
-// forget takes an incarnation whose record is there again for one that lives. One that has
-// said that it leaves is remembered.
-func (d *departures) forget(instance *Instance) {
+// remove drops an incarnation whose record exists again, which shows that it runs. An incarnation
+// that has announced that it leaves stays.
+func (d *departures) remove(instance *Instance) {
 	name := instance.Incarnation()
 	if leaving, known := d.leaving[name]; !known || leaving {
 		return
@@ -54,11 +55,12 @@
 	d.order = slices.DeleteFunc(d.order, func(each string) bool { return each == name })
 }
 
-// left reports whether an incarnation has said that it leaves.
-func (d *departures) left(instance *Instance) bool { return d.leaving[instance.Incarnation()] }
+// isLeaving reports whether an incarnation has announced that it leaves.
+func (d *departures) isLeaving(instance *Instance) bool { return d.leaving[instance.Incarnation()] }
 
-// ended reports whether an incarnation's record was gone or replaced, or it leaves.
-func (d *departures) ended(instance *Instance) bool {
+// contains reports whether an incarnation's record was removed or replaced, or the incarnation is
+// leaving.
+func (d *departures) contains(instance *Instance) bool {
 	_, known := d.leaving[instance.Incarnation()]
 	return known
 }
--- a/internal/catalog/reading.go
+++ b/internal/catalog/item.go
@@ -2,35 +2,34 @@
 
 import "slices"
 
-// Item is one item as a client of the store has read it. Exactly one of
-// Configuration, Instance, Evacuation, Removed and Err is set; or Removed and Err, for a
-// record that names no worker.
+// Item is one item as read by a client of the store. Exactly one of Configuration, Instance,
+// Evacuation, Removed and Err is set, or both Removed and Err for an invalid record.
 type Item struct {
 	Revision      uint64
-	Configuration func() (*Configuration, error) // decodes a configuration, which is long
+	Configuration func() (*Configuration, error) // decodes the configuration, which may be large
 	Instance      *Instance
 	Evacuation    *Evacuation
-	Removed       string // id of an instance whose record is gone
+	Removed       string // id of an instance whose record was removed
 	Err           error  // why the item can't be used
 }
 
-// Answer is what a client of the store has read, in the order of revisions.
+// Answer is a response of the store as read by a client, in the order of revisions.
 type Answer struct {
-	Era      uint64 // of the store, when it answered
+	Era      uint64 // of the store at the time of the response
 	From, To uint64
 	Whole    bool
 	Items    []Item
-	Bytes    int // that came
+	Bytes    int // size of the response
 }
 
-// Batch returns what an answer brings. An item that can't be used spoils no
-// other: the problem is told, and the item left out. Of several configurations
-// the newest that is sound counts; those before it are not decoded.
+// Batch returns the valid contents of a response. It calls problem for each invalid item and
+// leaves that item out. Of several configurations it takes the newest valid one and does not
+// decode the earlier ones.
 func (a *Answer) Batch(problem func(error)) Batch {
 	batch := Batch{Era: a.Era, From: a.From, To: a.To, Whole: a.Whole}
 	configured := false
 	for _, item := range slices.Backward(a.Items) {
-		item.refuseUnusable()
+		item.rejectInvalid()
 		change := Change{Revision: item.Revision, Instance: item.Instance, Evacuation: item.Evacuation, Removed: item.Removed}
 		if item.Err != nil {
 			problem(item.Err)
@@ -41,7 +40,7 @@
 		case item.Configuration != nil && configured:
 			continue
 		case item.Configuration != nil:
-			configuration, err := item.sound()
+			configuration, err := item.decodeValid()
 			if err != nil {
 				problem(err)
 				continue
@@ -55,8 +54,8 @@
 	return batch
 }
 
-// refuseUnusable takes a record that can be no worker's for none.
-func (i *Item) refuseUnusable() {
+// rejectInvalid turns an invalid record into a removal with an error.
+func (i *Item) rejectInvalid() {
 	if i.Instance == nil {
 		return
 	}
@@ -65,8 +64,8 @@
 	}
 }
 
-// sound decodes a configuration and checks it.
-func (i *Item) sound() (*Configuration, error) {
+// decodeValid decodes a configuration and validates it.
+func (i *Item) decodeValid() (*Configuration, error) {
 	configuration, err := i.Configuration()
 	if err != nil {
 		return nil, err
--- a/internal/catalog/lapse.go
+++ b/internal/catalog/lapse.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// maxLapsed bounds the instances that are remembered after their records are gone.
+// maxLapsed bounds the instances that are tracked after their records have expired.
 const maxLapsed = 256
 
-// Lapsed returns the instances whose records are gone without a word of leaving,
-// sorted by id. They may live: a worker that can't reach the store can't renew its
-// record. One whose address another instance has since recorded is gone.
+// Lapsed returns the instances whose records were removed although the instance had not announced
+// that it leaves, sorted by id. They may still run, since a worker that can't reach the store
+// can't renew its record. An instance whose address another instance has recorded since is left
+// out.
 func (s *State) Lapsed() []Instance {
 	if len(s.lapsed) == 0 {
 		return nil
 	}
 	taken := make(map[string]bool, len(s.instances))
-	for id, held := range s.instances {
-		if !s.doubts.instance(id) {
-			taken[held.instance.Address] = true
+	for id, record := range s.instances {
+		if !s.conflicts.hasInstance(id) {
+			taken[record.instance.Address] = true
 		}
 	}
 	lapsed := make([]Instance, 0, len(s.lapsed))
@@ -31,28 +32,27 @@
 	return lapsed
 }
 
-// ForgetLapsed takes an instance for gone.
+// ForgetLapsed drops an instance from Lapsed.
 func (s *State) ForgetLapsed(id string) { delete(s.lapsed, id) }
 
-// lapse remembers an instance whose record is gone. One that had said that it
-// leaves has left.
-func (s *State) lapse(gone Instance) {
-	if gone.Draining || len(s.lapsed) >= maxLapsed {
+// addLapsed tracks an instance whose record was removed, unless it had announced that it leaves.
+func (s *State) addLapsed(instance Instance) {
+	if instance.Draining || len(s.lapsed) >= maxLapsed {
 		return
 	}
-	s.lapsed[gone.ID] = gone
+	s.lapsed[instance.ID] = instance
 }
 
-// lapseMissing does so for all that a new whole lacks, or tells against better knowledge.
-// What had been replaced at its address had ended.
-func (s *State) lapseMissing(latest map[string]record, restored bool) {
-	for _, held := range latest {
-		if _, present := s.instances[held.instance.ID]; present && !s.doubts.instance(held.instance.ID) {
+// addMissingToLapsed calls addLapsed for all earlier records that a new snapshot lacks or that
+// are in conflict. Outside a restore, these incarnations count as ended.
+func (s *State) addMissingToLapsed(latest map[string]record, restored bool) {
+	for _, candidate := range latest {
+		if _, present := s.instances[candidate.instance.ID]; present && !s.conflicts.hasInstance(candidate.instance.ID) {
 			continue
 		}
-		s.lapse(held.instance)
+		s.addLapsed(candidate.instance)
 		if !restored {
-			s.departures.note(&held.instance)
+			s.departures.record(&candidate.instance)
 		}
 	}
 }
--- a/internal/catalog/latest.go
+++ b/internal/catalog/latest.go
@@ -1,12 +1,16 @@
 package catalog
 
-// latest returns the records that count, by address.
-func (s *State) latest() map[string]record {
-	return latestOf(s.instances, func(held *Instance) bool { return !s.doubts.instance(held.ID) && s.declares(held.Service) })
+// latestByAddress returns the records that count, by address: those without a conflict and of a
+// declared service.
+func (s *State) latestByAddress() map[string]record {
+	return latestRecords(s.instances, func(instance *Instance) bool {
+		return !s.conflicts.hasInstance(instance.ID) && s.isDeclared(instance.Service)
+	})
 }
 
-// declares reports whether the configuration knows a service, as far as can be told.
-func (s *State) declares(service string) bool {
+// isDeclared reports whether the configuration has a service. It returns true if the
+// configuration is unknown or lists no services.
+func (s *State) isDeclared(service string) bool {
 	if s.configuration == nil || len(s.configuration.Services) == 0 {
 		return true
 	}
@@ -14,16 +18,16 @@
 	return declared
 }
 
-// latestOf returns of the records at each address that count the one that was written last:
-// the others have ended without a word, and their records are still to be removed.
-func latestOf(records map[string]record, counts func(*Instance) bool) map[string]record {
+// latestRecords returns, for each address, the last written of the records that count. The others
+// belong to workers that ended without removing their records.
+func latestRecords(records map[string]record, counts func(*Instance) bool) map[string]record {
 	latest := make(map[string]record, len(records))
-	for _, held := range records {
-		if !counts(&held.instance) {
+	for _, candidate := range records {
+		if !counts(&candidate.instance) {
 			continue
 		}
-		if other, known := latest[held.instance.Address]; !known || held.revision > other.revision {
-			latest[held.instance.Address] = held
+		if other, known := latest[candidate.instance.Address]; !known || candidate.revision > other.revision {
+			latest[candidate.instance.Address] = candidate
 		}
 	}
 	return latest
--- a/internal/catalog/restored.go
+++ b/internal/catalog/restored.go
@@ -2,95 +2,95 @@
 
 import "maps"
 
-// A store that comes back from a copy some seconds old has lost what it acknowledged since,
-// until the operator and the workers write it again. A node that knew it goes on by what it
-// knew: an older configuration is not taken, and a worker that had said it leaves stays
-// left, both for good. Of the rest the copy may be right: a worker whose record was gone may
-// have written it again, and an operator may have changed an order while nobody could read
-// it. So that is doubted until it is written anew, or until Settle is called, when whatever
-// is still missing counts as gone.
+// A store that is restored from a backup some seconds old lacks the writes acknowledged since,
+// until the operator and the workers write them again. A node that knew these writes keeps them:
+// an older configuration is never applied, and a worker that had announced that it leaves stays
+// leaving. In other cases the backup may be right: a worker whose record was removed may have
+// written it again, and an operator may have changed an evacuation while nobody could read it.
+// Such contradictions are tracked as conflicts, in which the earlier state takes precedence,
+// until the item is written again or Settle is called. Settle applies the contents of the store.
 
-// doubts are what the copy says against what was known.
-type doubts struct {
-	instances   map[string]struct{} // by id: whose records were gone or replaced, and are there again
-	evacuations map[string]bool     // by zone: whether it was known to be evacuated, when the copy says otherwise
+// conflicts are contradictions between a restored backup and what was known before.
+type conflicts struct {
+	instances   map[string]struct{} // by id: records that had been removed or replaced and are in the backup
+	evacuations map[string]bool     // by zone: whether it was evacuated before, if the backup says otherwise
 }
 
-func newDoubts() doubts {
-	return doubts{instances: map[string]struct{}{}, evacuations: map[string]bool{}}
+func newConflicts() conflicts {
+	return conflicts{instances: map[string]struct{}{}, evacuations: map[string]bool{}}
 }
 
-func (d *doubts) instance(id string) bool {
-	_, doubted := d.instances[id]
-	return doubted
+func (c *conflicts) hasInstance(id string) bool {
+	_, present := c.instances[id]
+	return present
 }
 
-// knowledge is what was known before a whole.
-type knowledge struct {
+// priorState is the state before a snapshot is applied.
+type priorState struct {
 	instances map[string]record // by id
-	latest    map[string]record // of them those that counted, by address
+	latest    map[string]record // those of them that counted, by address
 	lapsed    map[string]Instance
-	evacuated map[string]bool // by zone, those that were taken back included
+	evacuated map[string]bool // by zone, ended evacuations included
 }
 
-func (s *State) knowledge() knowledge {
-	known := knowledge{instances: s.instances, latest: s.latest(), lapsed: maps.Clone(s.lapsed), evacuated: map[string]bool{}}
-	for zone, held := range s.evacuations {
-		known.evacuated[zone] = !held.Ended
+func (s *State) priorState() priorState {
+	prior := priorState{instances: s.instances, latest: s.latestByAddress(), lapsed: maps.Clone(s.lapsed), evacuated: map[string]bool{}}
+	for zone, zoneState := range s.evacuations {
+		prior.evacuated[zone] = !zoneState.Ended
 	}
-	maps.Copy(known.evacuated, s.doubts.evacuations)
-	return known
+	maps.Copy(prior.evacuated, s.conflicts.evacuations)
+	return prior
 }
 
-// returned returns the ids of a copy's records that are known to have been gone or replaced
-// when the copy was older.
-func (s *State) returned(changes []Change, known knowledge) map[string]struct{} {
-	returned := map[string]struct{}{}
+// resurrectedRecords returns the ids of those records in a backup that are known to have been
+// removed or replaced later.
+func (s *State) resurrectedRecords(changes []Change, prior priorState) map[string]struct{} {
+	resurrected := map[string]struct{}{}
 	for _, change := range changes {
 		instance := change.Instance
-		if instance == nil || s.departures.left(instance) {
+		if instance == nil || s.departures.isLeaving(instance) {
 			continue
 		}
-		before, recorded := known.instances[instance.ID]
-		replaced := recorded && before.instance == *instance && known.latest[instance.Address].instance != *instance
-		if replaced || s.departures.ended(instance) {
-			returned[instance.ID] = struct{}{}
+		before, recorded := prior.instances[instance.ID]
+		replaced := recorded && before.instance == *instance && prior.latest[instance.Address].instance != *instance
+		if replaced || s.departures.contains(instance) {
+			resurrected[instance.ID] = struct{}{}
 		}
 	}
-	return returned
+	return resurrected
 }
 
-// doubt notes what a copy, which has been taken in, says against what was known.
-func (s *State) doubt(returned map[string]struct{}, known knowledge) {
-	s.doubts.instances = returned
-	for id := range returned {
+// recordConflicts records the contradictions between the prior state and a backup that has been
+// applied.
+func (s *State) recordConflicts(resurrected map[string]struct{}, prior priorState) {
+	s.conflicts.instances = resurrected
+	for id := range resurrected {
 		instance := s.instances[id].instance
-		s.departures.note(&instance)
-		if lapsed, held := known.lapsed[id]; held {
+		s.departures.record(&instance)
+		if lapsed, wasLapsed := prior.lapsed[id]; wasLapsed {
 			s.lapsed[id] = lapsed
 		}
 	}
-	for zone, evacuated := range known.evacuated {
-		told, present := s.evacuations[zone]
-		if evacuated != (present && !told.Ended) {
-			s.doubts.evacuations[zone] = evacuated
+	for zone, evacuated := range prior.evacuated {
+		current, present := s.evacuations[zone]
+		if evacuated != (present && !current.Ended) {
+			s.conflicts.evacuations[zone] = evacuated
 		}
 	}
 }
 
-// Doubted returns how many records and orders of a copy are not followed yet, since what
-// was known before speaks against them.
-func (s *State) Doubted() int { return len(s.doubts.instances) + len(s.doubts.evacuations) }
+// Doubted returns the number of records and evacuation orders of a restored backup that are not
+// applied yet because they contradict what was known before.
+func (s *State) Doubted() int { return len(s.conflicts.instances) + len(s.conflicts.evacuations) }
 
-// Settle takes for true what the store says, where what was known before its return spoke
-// against it. It reports whether that changes anything.
+// Settle resolves all conflicts in favor of the store. It reports whether there were any.
 func (s *State) Settle() bool {
 	changed := s.Doubted() > 0
-	for id := range s.doubts.instances {
+	for id := range s.conflicts.instances {
 		instance := s.instances[id].instance
-		s.departures.forget(&instance)
+		s.departures.remove(&instance)
 		delete(s.lapsed, id)
 	}
-	s.doubts = newDoubts()
+	s.conflicts = newConflicts()
 	return changed
 }
--- a/internal/catalog/restored_test.go
+++ b/internal/catalog/restored_test.go
@@ -8,38 +8,39 @@
 	"pgregory.net/rapid"
 )
 
-// restoredWorker is a worker as it would record itself.
-type restoredWorker struct {
+// simWorker is a worker with the record that it would write.
+type simWorker struct {
 	Instance
 	alive bool
 }
 
-// history is a store with its writers and the nodes that read it and one another. The store
-// may come back from a copy at any time; its writers then write again in any order.
+// history is a store with its writers and with nodes that read the store and one another. The
+// store may be restored from a backup at any time; the writers then repeat their writes in any
+// order.
 type history struct {
-	t        *rapid.T
-	era      uint64
-	version  uint64
-	store    *State
-	copies   []Batch
-	workers  map[string]*restoredWorker
-	births   int64
-	ordered  bool // whether the zone is evacuated
-	nodes    []*State
-	underway map[*State][]Batch // to a node, which may take it late or twice
-	left     []map[string]bool  // by node: incarnations that it knew to leave
+	t         *rapid.T
+	era       uint64
+	version   uint64
+	store     *State
+	backups   []Batch
+	workers   map[string]*simWorker
+	starts    int64
+	evacuated bool // whether the zone is evacuated
+	nodes     []*State
+	inFlight  map[*State][]Batch // by node: batches that may arrive late or twice
+	leaving   []map[string]bool  // by node: incarnations that it has seen leaving
 }
 
-var historyIDs = []string{"a", "b", "c"}
+var workerIDs = []string{"a", "b", "c"}
 
 func newHistory(t *rapid.T) *history {
-	h := &history{t: t, era: 1, store: NewState(), workers: map[string]*restoredWorker{}, underway: map[*State][]Batch{}}
+	h := &history{t: t, era: 1, store: NewState(), workers: map[string]*simWorker{}, inFlight: map[*State][]Batch{}}
 	h.store.Join(Batch{Era: 1, To: 1, Whole: true})
 	for range 3 {
 		node := NewState()
 		node.Join(h.store.Since(Position{}))
 		h.nodes = append(h.nodes, node)
-		h.left = append(h.left, map[string]bool{})
+		h.leaving = append(h.leaving, map[string]bool{})
 	}
 	return h
 }
@@ -55,12 +56,12 @@
 	h.write(Change{Configuration: &Configuration{Version: h.version}})
 }
 
-// turn has a worker start, leave, end, or write its record.
-func (h *history) turn(id string) {
+// stepWorker lets a worker start, announce that it leaves, end, or write its record.
+func (h *history) stepWorker(id string) {
 	worker := h.workers[id]
 	if worker == nil || !worker.alive {
-		h.births++
-		worker = &restoredWorker{Instance: Instance{ID: id, Born: h.births, Address: "10.0.0.1:" + id}, alive: true}
+		h.starts++
+		worker = &simWorker{Instance: Instance{ID: id, Born: h.starts, Address: "10.0.0.1:" + id}, alive: true}
 		h.workers[id] = worker
 	} else if !worker.Draining && rapid.Bool().Draw(h.t, "leaves") {
 		worker.Draining = true
@@ -69,11 +70,11 @@
 		h.write(Change{Removed: id})
 		return
 	}
-	h.renew(id)
+	h.writeRecord(id)
 }
 
-// renew writes a worker's record, or removes that of one that has ended.
-func (h *history) renew(id string) {
+// writeRecord writes a worker's record, or removes the record of a worker that has ended.
+func (h *history) writeRecord(id string) {
 	worker := h.workers[id]
 	if worker == nil || !worker.alive {
 		h.write(Change{Removed: id})
@@ -83,46 +84,46 @@
 	h.write(Change{Instance: &instance})
 }
 
-func (h *history) order(ordered bool) {
-	h.ordered = ordered
-	h.write(Change{Evacuation: &Evacuation{Zone: "z", Ended: !ordered}})
+func (h *history) evacuate(evacuated bool) {
+	h.evacuated = evacuated
+	h.write(Change{Evacuation: &Evacuation{Zone: "z", Ended: !evacuated}})
 }
 
-// restore brings the store back from a copy.
-func (h *history) restore(older Batch) {
+// restore restores the store from a backup.
+func (h *history) restore(backup Batch) {
 	h.era++
-	older.Era = h.era
+	backup.Era = h.era
 	h.store = NewState()
-	h.store.Join(older)
+	h.store.Join(backup)
 }
 
-// deliver lets a node read the store or another node, or get what is underway since before.
+// deliver lets a node read the store or another node, or receive an earlier batch late.
 func (h *history) deliver(node *State) {
-	switch rapid.SampledFrom([]string{"store", "store", "peer", "late", "whole"}).Draw(h.t, "from") {
+	switch rapid.SampledFrom([]string{"store", "store", "peer", "late", "snapshot"}).Draw(h.t, "from") {
 	case "store":
-		h.read(node)
+		h.readStore(node)
 	case "peer":
 		peer := rapid.SampledFrom(h.nodes).Draw(h.t, "peer")
-		h.underway[node] = append(h.underway[node], peer.Since(node.Position()))
+		h.inFlight[node] = append(h.inFlight[node], peer.Since(node.Position()))
 		node.Join(peer.Since(node.Position()))
 	case "late":
-		if underway := h.underway[node]; len(underway) > 0 {
-			node.Join(rapid.SampledFrom(underway).Draw(h.t, "batch"))
+		if batches := h.inFlight[node]; len(batches) > 0 {
+			node.Join(rapid.SampledFrom(batches).Draw(h.t, "batch"))
 		}
-	case "whole":
+	case "snapshot":
 		node.Join(h.store.Since(Position{}))
 	}
 }
 
-// read lets a node ask the store for the changes after its revision. The store knows nothing
-// of the node's era, and has no answer if it has not given that revision out. The node asks
-// for everything if the changes are of no use.
-func (h *history) read(node *State) {
+// readStore lets a node request the changes after its revision from the store. The store does not
+// know the node's era, and fails the request if it has not assigned that revision. The node
+// requests a full snapshot if the changes are not usable.
+func (h *history) readStore(node *State) {
 	point := h.store.Point()
 	usable := false
 	if node.Revision() <= point.Revision {
 		changes := h.store.Since(Position{Point: Point{Era: point.Era, Revision: node.Revision()}})
-		h.underway[node] = append(h.underway[node], changes)
+		h.inFlight[node] = append(h.inFlight[node], changes)
 		usable, _ = node.Join(changes)
 	}
 	if !usable {
@@ -130,38 +131,38 @@
 	}
 }
 
-// writeAgain has the writers write what the store doesn't hold as they wrote it last.
-func (h *history) writeAgain() {
-	for _, id := range historyIDs {
-		held, recorded := h.store.instances[id]
+// writeMissing lets the writers repeat their last writes that the store lacks.
+func (h *history) writeMissing() {
+	for _, id := range workerIDs {
+		current, recorded := h.store.instances[id]
 		worker, known := h.workers[id]
-		lives := known && worker.alive
-		if recorded != lives || lives && held.instance != worker.Instance {
-			h.renew(id)
+		running := known && worker.alive
+		if recorded != running || running && current.instance != worker.Instance {
+			h.writeRecord(id)
 		}
 	}
-	if h.store.isEvacuated("z") != h.ordered {
-		h.order(h.ordered)
+	if h.store.isEvacuated("z") != h.evacuated {
+		h.evacuate(h.evacuated)
 	}
 	if h.store.Position().Version != h.version {
 		h.write(Change{Configuration: &Configuration{Version: h.version}})
 	}
 }
 
-// check looks at what holds at each node at any time.
+// check verifies the invariants that hold for each node at any time.
 func (h *history) check(before []Position) {
 	for index, node := range h.nodes {
 		now := node.Position()
 		if now.Compare(before[index].Point) < 0 || now.Version < before[index].Version {
-			h.t.Fatalf("node %d went from %v to %v", index, before[index], now)
+			h.t.Fatalf("node %d: position went back from %v to %v", index, before[index], now)
 		}
 		for _, instance := range node.Instances() {
 			name := instance.Incarnation()
-			if h.left[index][name] && !instance.Draining {
-				h.t.Fatalf("node %d takes %s, which leaves, for ready", index, name)
+			if h.leaving[index][name] && !instance.Draining {
+				h.t.Fatalf("node %d treats %s, which is leaving, as ready", index, name)
 			}
 			if instance.Draining {
-				h.left[index][name] = true
+				h.leaving[index][name] = true
 			}
 		}
 	}
@@ -176,33 +177,33 @@
 }
 
 func (h *history) step() {
-	switch rapid.SampledFrom([]string{"configure", "worker", "worker", "order", "copy", "restore", "write again", "deliver", "deliver", "deliver", "deliver", "deliver", "start"}).Draw(h.t, "step") {
+	switch rapid.SampledFrom([]string{"configure", "worker", "worker", "evacuate", "backup", "restore", "repeat write", "deliver", "deliver", "deliver", "deliver", "deliver", "start"}).Draw(h.t, "step") {
 	case "configure":
 		h.configure()
 	case "worker":
-		h.turn(rapid.SampledFrom(historyIDs).Draw(h.t, "id"))
-	case "order":
-		h.order(!h.ordered)
-	case "copy":
-		h.copies = append(h.copies, h.store.Since(Position{}))
+		h.stepWorker(rapid.SampledFrom(workerIDs).Draw(h.t, "id"))
+	case "evacuate":
+		h.evacuate(!h.evacuated)
+	case "backup":
+		h.backups = append(h.backups, h.store.Since(Position{}))
 	case "restore":
-		if len(h.copies) > 0 {
-			h.restore(rapid.SampledFrom(h.copies).Draw(h.t, "copy"))
+		if len(h.backups) > 0 {
+			h.restore(rapid.SampledFrom(h.backups).Draw(h.t, "backup"))
 		}
-	case "write again":
-		h.renew(rapid.SampledFrom(historyIDs).Draw(h.t, "id"))
+	case "repeat write":
+		h.writeRecord(rapid.SampledFrom(workerIDs).Draw(h.t, "id"))
 	case "deliver":
 		h.deliver(rapid.SampledFrom(h.nodes).Draw(h.t, "node"))
 	case "start":
 		index := rapid.IntRange(0, len(h.nodes)-1).Draw(h.t, "node")
-		h.nodes[index], h.left[index] = NewState(), map[string]bool{}
+		h.nodes[index], h.leaving[index] = NewState(), map[string]bool{}
 	}
 }
 
-// Whatever is written, lost and written again, and in whatever order it comes: no node goes
-// back, none takes a worker for ready that it knew to leave, and when all is written again
-// and read, all nodes hold what the store does.
-func TestCopiesOfTheStoreConverge(t *testing.T) {
+// Whatever is written, lost and written again, in whatever order it arrives: no node's position
+// goes back, and no node treats a worker as ready that it has seen leaving. Once all writes have
+// been repeated and read, all nodes agree with the store.
+func TestNodesConvergeAfterRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory(t)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -216,9 +217,9 @@
 			}
 			h.check(before)
 		}
-		h.writeAgain()
+		h.writeMissing()
 		for index, node := range h.nodes {
-			h.read(node)
+			h.readStore(node)
 			node.Settle()
 			name := fmt.Sprintf("node %d", index)
 			must.Eq(t, h.store.Position(), node.Position(), must.Sprint(name))
@@ -228,96 +229,99 @@
 	})
 }
 
-// copyOf is a whole as a store tells it that has come back from a copy.
-func copyOf(changes ...Change) Batch { return Batch{Era: 2, To: 3, Whole: true, Changes: changes} }
+// restoredSnapshot returns a full snapshot of a store restored from a backup.
+func restoredSnapshot(changes ...Change) Batch {
+	return Batch{Era: 2, To: 3, Whole: true, Changes: changes}
+}
 
-// recorded is a worker's record at a revision.
-func recorded(revision uint64, instance Instance) Change {
+// recordChange returns a worker's record written at a revision.
+func recordChange(revision uint64, instance Instance) Change {
 	return Change{Revision: revision, Instance: &instance}
 }
 
-// A worker that was known to be gone, and stands in the copy, is sent nothing until it
-// writes its record again, or until it is clear that it lives.
-func TestCopyBringsBackNoWorker(t *testing.T) {
-	gone := Instance{ID: "gone", Born: 1, Address: "10.0.0.1:80"}
-	lives := Instance{ID: "lives", Born: 1, Address: "10.0.0.2:80"}
+// A worker whose removed record is in the backup gets no requests until it writes the record
+// again or the conflict is settled.
+func TestRestoreDoesNotResurrectWorker(t *testing.T) {
+	ended := Instance{ID: "gone", Born: 1, Address: "10.0.0.1:80"}
+	running := Instance{ID: "lives", Born: 1, Address: "10.0.0.2:80"}
 	state := NewState()
-	state.Join(Batch{Era: 1, To: 5, Whole: true, Changes: []Change{recorded(1, gone), recorded(2, lives)}})
+	state.Join(Batch{Era: 1, To: 5, Whole: true, Changes: []Change{recordChange(1, ended), recordChange(2, running)}})
 	state.Join(Batch{Era: 1, From: 5, To: 6, Changes: []Change{{Revision: 6, Removed: "gone"}}})
-	state.Join(copyOf(recorded(1, gone), recorded(2, lives)))
-	must.Eq(t, []Instance{lives}, state.Instances())
-	must.Eq(t, []Instance{gone}, state.Lapsed())
+	state.Join(restoredSnapshot(recordChange(1, ended), recordChange(2, running)))
+	must.Eq(t, []Instance{running}, state.Instances())
+	must.Eq(t, []Instance{ended}, state.Lapsed())
 	must.Eq(t, 1, state.Doubted())
 
-	state.Join(Batch{Era: 2, From: 3, To: 4, Changes: []Change{recorded(4, gone)}})
-	must.Eq(t, []Instance{gone, lives}, state.Instances())
+	state.Join(Batch{Era: 2, From: 3, To: 4, Changes: []Change{recordChange(4, ended)}})
+	must.Eq(t, []Instance{ended, running}, state.Instances())
 	must.SliceEmpty(t, state.Lapsed())
 
 	state.Join(Batch{Era: 2, From: 4, To: 5, Changes: []Change{{Revision: 5, Removed: "gone"}}})
-	again := copyOf(recorded(1, gone), recorded(2, lives))
+	again := restoredSnapshot(recordChange(1, ended), recordChange(2, running))
 	again.Era = 3
 	state.Join(again)
-	must.Eq(t, []Instance{lives}, state.Instances())
+	must.Eq(t, []Instance{running}, state.Instances())
 	must.True(t, state.Settle())
-	must.Eq(t, []Instance{gone, lives}, state.Instances())
+	must.Eq(t, []Instance{ended, running}, state.Instances())
 	must.SliceEmpty(t, state.Lapsed())
 }
 
-// Of two workers at one address the later one is known, the copy holds the earlier one
-// alone: no request is meant for that one any more.
-func TestCopyBringsBackNoWorkerThatWasReplaced(t *testing.T) {
+// Of two workers at one address the node knows the later one, but the backup has only the earlier
+// one: the earlier one must not get requests.
+func TestRestoreDoesNotResurrectReplacedWorker(t *testing.T) {
 	earlier := Instance{ID: "earlier", Born: 1, Address: "10.0.0.1:80"}
 	later := Instance{ID: "later", Born: 2, Address: "10.0.0.1:80"}
 	state := NewState()
-	state.Join(Batch{Era: 1, To: 5, Whole: true, Changes: []Change{recorded(1, earlier), recorded(5, later)}})
-	state.Join(copyOf(recorded(1, earlier)))
+	state.Join(Batch{Era: 1, To: 5, Whole: true, Changes: []Change{recordChange(1, earlier), recordChange(5, later)}})
+	state.Join(restoredSnapshot(recordChange(1, earlier)))
 	must.SliceEmpty(t, state.Instances())
 	must.Eq(t, []Instance{later}, state.Lapsed())
 }
 
-// A worker that starts again under its id is another one: what the one before had said, it
-// has not.
-func TestWorkerStartsAgainUnderItsID(t *testing.T) {
+// A worker that restarts under the same id is a new incarnation: that the previous one was
+// leaving does not apply to it.
+func TestRestartedWorkerIsNewIncarnation(t *testing.T) {
 	before := Instance{ID: "a", Born: 1, Address: "10.0.0.1:80", Draining: true}
 	after := Instance{ID: "a", Born: 2, Address: "10.0.0.1:80"}
 	must.NotEq(t, before.Incarnation(), after.Incarnation())
 	state := NewState()
-	state.Join(Batch{Era: 1, To: 1, Whole: true, Changes: []Change{recorded(1, before)}})
-	state.Join(Batch{Era: 1, From: 1, To: 2, Changes: []Change{recorded(2, after)}})
+	state.Join(Batch{Era: 1, To: 1, Whole: true, Changes: []Change{recordChange(1, before)}})
+	state.Join(Batch{Era: 1, From: 1, To: 2, Changes: []Change{recordChange(2, after)}})
 	must.Eq(t, []Instance{after}, state.Instances())
-	state.Join(copyOf(recorded(1, Instance{ID: "a", Born: 1, Address: "10.0.0.1:80"})))
+	state.Join(restoredSnapshot(recordChange(1, Instance{ID: "a", Born: 1, Address: "10.0.0.1:80"})))
 	for _, instance := range state.Instances() {
 		must.True(t, instance.Draining)
 	}
-	state.Join(Batch{Era: 2, From: 3, To: 4, Changes: []Change{recorded(4, after)}})
+	state.Join(Batch{Era: 2, From: 3, To: 4, Changes: []Change{recordChange(4, after)}})
 	must.Eq(t, []Instance{after}, state.Instances())
 }
 
-// An order that the copy lacks, or that it still has, is followed as it was known until the
-// operator has had time to write it again.
-func TestCopyChangesNoOrderAtOnce(t *testing.T) {
-	order := func(zone string, ended bool) Change {
+// An evacuation that the backup lacks, or has although it was ended, stays as it was known until
+// Settle, so that the operator has time to write it again.
+func TestRestoreKeepsEvacuationsUntilSettled(t *testing.T) {
+	evacuation := func(zone string, ended bool) Change {
 		return Change{Revision: 3, Evacuation: &Evacuation{Zone: zone, Ended: ended}}
 	}
 	state := NewState()
-	state.Join(Batch{Era: 1, To: 5, Whole: true, Changes: []Change{order("begun", false)}})
+	state.Join(Batch{Era: 1, To: 5, Whole: true, Changes: []Change{evacuation("begun", false)}})
 	state.Join(Batch{Era: 1, From: 5, To: 6, Changes: []Change{{Revision: 6, Evacuation: &Evacuation{Zone: "ended", Ended: true}}}})
-	state.Join(copyOf(order("ended", false)))
+	state.Join(restoredSnapshot(evacuation("ended", false)))
 	must.Eq(t, []string{"begun"}, state.Evacuated())
 	must.Eq(t, 2, state.Doubted())
 	must.True(t, state.Settle())
 	must.Eq(t, []string{"ended"}, state.Evacuated())
 }
 
-// A peer that began with the copy is told the newer version that is held here, once. One
-// that has not heard of the copy is told everything, and tells nothing.
-func TestCopyGivesNoVersionUp(t *testing.T) {
+// A peer that started from the backup is sent the newer configuration that this node has, once. A
+// peer that has not learned of the restore is sent a full snapshot, and its own batches change
+// nothing.
+func TestRestoreKeepsNewerConfiguration(t *testing.T) {
 	older, newer := &Configuration{Version: 4}, &Configuration{Version: 7}
 	state, behind := NewState(), NewState()
 	for _, each := range []*State{state, behind} {
 		each.Join(Batch{Era: 1, To: 9, Whole: true, Changes: []Change{{Revision: 9, Configuration: newer}}})
 	}
-	state.Join(copyOf(Change{Revision: 1, Configuration: older}))
+	state.Join(restoredSnapshot(Change{Revision: 1, Configuration: older}))
 	must.Eq(t, newer, state.Configuration())
 
 	fresh := NewState()
@@ -326,16 +330,16 @@
 	must.Eq(t, 7, fresh.Position().Version)
 	must.SliceEmpty(t, state.Since(fresh.Position()).Changes)
 
-	further := NewState() // that has read more of the store than the node that it follows
+	further := NewState() // a node that has read more of the store than the node that it follows
 	further.Join(Batch{Era: 2, To: 5, Whole: true, Changes: []Change{{Revision: 1, Configuration: older}}})
 	further.Join(state.Since(further.Position()))
 	must.Eq(t, 7, further.Position().Version)
 	must.Eq(t, 5, further.Revision())
 
 	before := state.Position()
-	told := behind.Since(before)
-	must.SliceEmpty(t, told.Changes)
-	usable, changed := state.Join(told)
+	batch := behind.Since(before)
+	must.SliceEmpty(t, batch.Changes)
+	usable, changed := state.Join(batch)
 	must.True(t, usable)
 	must.False(t, changed)
 	must.Eq(t, before, state.Position())
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// maxFormer bounds the configurations that are kept to tell differences from.
-const maxFormer = 8
+// maxPrevious bounds the configurations that are retained to compute differences from.
+const maxPrevious = 8
 
-// maxRemoved bounds the removals that are remembered for peers that are behind.
-const maxRemoved = 1024
+// maxRemovals bounds the removals that are retained for peers that are behind.
+const maxRemovals = 1024
 
-// State joins batches. Knowledge only grows: a batch that is older than what
-// is held, by its Point, changes nothing. It is not safe for use by several goroutines.
+// State is a catalog built from batches. It never goes back: a batch whose Point is older than
+// the current one changes nothing. It is not safe for concurrent use.
 type State struct {
-	point         Point  // of the store that is known whole; all revisions here are of its era
-	floor         uint64 // changes after this one are known one by one
-	configuration *Configuration
-	configuredAt  uint64           // revision since when the store has the configuration, as far as is known
-	former        []*Configuration // those before it, oldest first
-	instances     map[string]record
-	evacuations   map[string]evacuation // by zone, those that were taken back included
-	removed       []removal             // oldest first
-	lapsed        map[string]Instance   // by id: those whose records are gone without a word of leaving
-	departures    departures
-	doubts        doubts
+	point                 Point  // up to which the state is complete; all revisions here are of its era
+	historyFloor          uint64 // later changes are known individually
+	configuration         *Configuration
+	configurationRevision uint64           // revision of the store that introduced the configuration, as far as is known
+	previous              []*Configuration // earlier configurations, oldest first
+	instances             map[string]record
+	evacuations           map[string]evacuation // by zone, ended evacuations included
+	removals              []removal             // oldest first
+	lapsed                map[string]Instance   // by id: instances whose records were removed although they had not announced that they leave
+	departures            departures
+	conflicts             conflicts
 }
 
 type record struct {
@@ -42,61 +42,60 @@
 	revision uint64
 }
 
-// NewState returns the state of a node that knows nothing.
+// NewState returns an empty state.
 func NewState() *State {
 	return &State{
 		instances: map[string]record{}, evacuations: map[string]evacuation{}, lapsed: map[string]Instance{},
-		departures: newDepartures(), doubts: newDoubts(),
+		departures: newDepartures(), conflicts: newConflicts(),
 	}
 }
 
-// Revision returns the store's revision up to which everything is known, 0
-// when nothing is. It falls when the store comes back from a copy.
+// Revision returns the store revision up to which the state is complete, 0 if the state is empty.
+// It decreases when the store is restored from a backup.
 func (s *State) Revision() uint64 { return s.point.Revision }
 
-// Point returns the store's point up to which everything is known.
+// Point returns the point of the store up to which the state is complete.
 func (s *State) Point() Point { return s.point }
 
-// Configuration returns the newest configuration, nil when none is known. It
-// must not be changed.
+// Configuration returns the newest configuration, nil if there is none. It must not be changed.
 func (s *State) Configuration() *Configuration { return s.configuration }
 
-// Instances returns the recorded instances, sorted by id. Of several at one address only
-// one counts, see latestOf. Those that a copy of the store tells against better knowledge
-// are left out, and those of services that the configuration doesn't know: no worker need
-// have written them, and none is to be hidden by them.
+// Instances returns the recorded instances, sorted by id. Of several at one address only one
+// counts, see latestRecords. Instances in conflict after a restore are left out, and so are those
+// of services that are not in the configuration: such a record need not come from a worker and
+// must not hide one.
 func (s *State) Instances() []Instance {
-	latest := s.latest()
+	latest := s.latestByAddress()
 	instances := make([]Instance, 0, len(latest))
-	for _, held := range latest {
-		instances = append(instances, held.instance)
+	for _, record := range latest {
+		instances = append(instances, record.instance)
 	}
 	slices.SortFunc(instances, func(a, b Instance) int { return cmp.Compare(a.ID, b.ID) })
 	return instances
 }
 
-// Join takes a batch in. It reports whether the batch could be used, and
-// whether it changed anything: a batch that starts after what is known leaves a
-// gap and can't be used. Neither can changes of a later era, however well their
-// revisions fit: what lies before them is not what is known.
+// Join applies a batch. It reports whether the batch was usable and whether it changed anything.
+// A batch that starts after the current revision leaves a gap and is not usable. Changes of a
+// later era are not usable either, even if their revisions fit, because the changes before them
+// differ from those known here.
 func (s *State) Join(batch Batch) (usable, changed bool) {
 	if batch.Era < s.point.Era {
 		return true, false
 	}
 	if batch.Whole {
-		return s.joinWhole(batch)
+		return s.applySnapshot(batch)
 	}
 	if batch.Era > s.point.Era || batch.From > s.point.Revision || s.point.Revision == 0 {
 		return false, false
 	}
 	for _, change := range batch.Changes {
-		if s.holds(change) {
+		if s.isKnown(change) {
 			continue
 		}
-		if !s.resolve(&change) {
+		if !s.resolveDifference(&change) {
 			return false, changed
 		}
-		if s.apply(change) {
+		if s.applyChange(change) {
 			changed = true
 		}
 	}
@@ -104,51 +103,52 @@
 	return true, changed
 }
 
-// holds reports whether a change is known. A version may be newer than what is held though
-// its revision is not: a peer held it before the store came back from a copy.
-func (s *State) holds(change Change) bool {
+// isKnown reports whether a change has already been applied. A configuration version may be newer
+// than the current one although its revision is not, if a peer received it before the store was
+// restored from a backup.
+func (s *State) isKnown(change Change) bool {
 	return change.Revision <= s.point.Revision && change.version() <= s.Position().Version
 }
 
-// joinWhole replaces what is known by a newer whole. One without a configuration leaves
-// the one that is held. It can't be used when its configuration is told as the difference
-// to another one than is held.
-func (s *State) joinWhole(batch Batch) (usable, changed bool) {
+// applySnapshot replaces the state by a newer snapshot. A snapshot without a configuration leaves
+// the current one. A snapshot is not usable if its configuration is a difference to another
+// version than the current one.
+func (s *State) applySnapshot(batch Batch) (usable, changed bool) {
 	if batch.Point().Compare(s.point) <= 0 {
 		return true, false
 	}
 	changes := slices.Clone(batch.Changes)
 	for index := range changes {
-		if !s.resolve(&changes[index]) {
+		if !s.resolveDifference(&changes[index]) {
 			return false, false
 		}
 	}
 	restored := s.point.Revision > 0 && batch.Era > s.point.Era
-	known := s.knowledge()
-	var returned map[string]struct{}
+	prior := s.priorState()
+	var resurrected map[string]struct{}
 	if restored {
-		returned = s.returned(changes, known)
-		s.doubts = newDoubts()
-		s.configuredAt = batch.To // of one that the copy holds an older version of; peers get it with the whole
+		resurrected = s.resurrectedRecords(changes, prior)
+		s.conflicts = newConflicts()
+		s.configurationRevision = batch.To // the backup may have an older configuration; peers get the current one with the snapshot
 	}
 	s.instances = map[string]record{}
 	s.evacuations = map[string]evacuation{}
-	s.removed = nil
-	s.floor = batch.To
+	s.removals = nil
+	s.historyFloor = batch.To
 	for _, change := range changes {
-		s.apply(change)
+		s.applyChange(change)
 	}
 	if restored {
-		s.doubt(returned, known)
+		s.recordConflicts(resurrected, prior)
 	}
-	s.lapseMissing(known.latest, restored)
+	s.addMissingToLapsed(prior.latest, restored)
 	s.point = batch.Point()
 	return true, true
 }
 
-// resolve turns a difference into the configuration that it leads to. It reports
-// false when the difference starts from another one than is held.
-func (s *State) resolve(change *Change) bool {
+// resolveDifference sets the configuration that a difference leads to. It returns false if the
+// difference starts from another version than the current one.
+func (s *State) resolveDifference(change *Change) bool {
 	if change.Difference == nil {
 		return true
 	}
@@ -156,81 +156,81 @@
 	return change.Configuration != nil
 }
 
-// apply takes one change in, in the order of revisions, and reports whether it
-// changed anything that matters.
-func (s *State) apply(change Change) bool {
+// applyChange applies one change; changes come in the order of revisions. It reports whether the
+// change had an effect.
+func (s *State) applyChange(change Change) bool {
 	switch {
 	case change.Configuration != nil:
-		return s.configure(change)
+		return s.applyConfiguration(change)
 	case change.Instance != nil:
-		return s.record(change)
+		return s.applyRecord(change)
 	case change.Evacuation != nil:
-		return s.evacuate(change)
+		return s.applyEvacuation(change)
 	case change.Removed != "":
-		return s.remove(change)
+		return s.applyRemoval(change)
 	default:
 		return false
 	}
 }
 
-// record takes in what a worker has recorded of itself. An incarnation that has said once
-// that it leaves is leaving, also where a copy of the store doesn't know that any more.
-func (s *State) record(change Change) bool {
+// applyRecord applies a worker's record. An incarnation that has announced that it leaves stays
+// leaving, even if a restored store no longer knows this.
+func (s *State) applyRecord(change Change) bool {
 	instance := *change.Instance
 	before, known := s.instances[instance.ID]
 	if known && before.instance.Born != instance.Born {
-		s.departures.note(&before.instance)
+		s.departures.record(&before.instance)
 	}
-	instance.Draining = instance.Draining || s.departures.left(&instance)
+	instance.Draining = instance.Draining || s.departures.isLeaving(&instance)
 	if instance.Draining {
-		s.departures.note(&instance)
+		s.departures.record(&instance)
 	}
-	s.departures.forget(&instance)
+	s.departures.remove(&instance)
 	s.instances[instance.ID] = record{instance: instance, revision: change.Revision}
 	delete(s.lapsed, instance.ID)
-	doubted := s.doubts.instance(instance.ID)
-	delete(s.doubts.instances, instance.ID)
-	return !known || doubted || before.instance != instance
+	inConflict := s.conflicts.hasInstance(instance.ID)
+	delete(s.conflicts.instances, instance.ID)
+	return !known || inConflict || before.instance != instance
 }
 
-// configure takes a configuration. A lower version never replaces a higher
-// one, whatever the store's revision says.
-func (s *State) configure(change Change) bool {
+// applyConfiguration applies a configuration. A lower version never replaces a higher one,
+// whatever the store's revision is.
+func (s *State) applyConfiguration(change Change) bool {
 	if s.configuration != nil && change.Configuration.Version < s.configuration.Version {
 		return false
 	}
-	fresh := s.configuration == nil || change.Configuration.Version > s.configuration.Version
-	s.remember()
+	newer := s.configuration == nil || change.Configuration.Version > s.configuration.Version
+	s.retainConfiguration()
 	s.configuration = change.Configuration
-	s.configuredAt = change.Revision
-	return fresh
+	s.configurationRevision = change.Revision
+	return newer
 }
 
-// remember keeps the configuration that is about to be replaced.
-func (s *State) remember() {
-	if s.configuration == nil || slices.Contains(s.former, s.configuration) {
+// retainConfiguration retains the configuration that is about to be replaced.
+func (s *State) retainConfiguration() {
+	if s.configuration == nil || slices.Contains(s.previous, s.configuration) {
 		return
 	}
-	s.former = append(s.former, s.configuration)
-	if len(s.former) > maxFormer {
-		s.former = s.former[1:]
+	s.previous = append(s.previous, s.configuration)
+	if len(s.previous) > maxPrevious {
+		s.previous = s.previous[1:]
 	}
 }
 
-func (s *State) remove(change Change) bool {
-	gone, known := s.instances[change.Removed]
-	if known && !s.doubts.instance(change.Removed) {
-		s.lapse(gone.instance)
+func (s *State) applyRemoval(change Change) bool {
+	removed, known := s.instances[change.Removed]
+	if known && !s.conflicts.hasInstance(change.Removed) {
+		s.addLapsed(removed.instance)
 	}
 	if known {
-		s.departures.note(&gone.instance)
+		s.departures.record(&removed.instance)
 	}
 	delete(s.instances, change.Removed)
-	delete(s.doubts.instances, change.Removed)
-	s.removed = append(s.removed, removal{id: change.Removed, revision: change.Revision})
-	if len(s.removed) > maxRemoved {
-		s.floor = max(s.floor, s.removed[0].revision)
-		s.removed = s.removed[1:]
+	delete(s.conflicts.instances, change.Removed)
+	s.removals = append(s.removals, removal{id: change.Removed, revision: change.Revision})
+	if len(s.removals) > maxRemovals {
+		s.historyFloor = max(s.historyFloor, s.removals[0].revision)
+		s.removals = s.removals[1:]
 	}
 	return known
 }
--- a/internal/catalog/state_test.go
+++ b/internal/catalog/state_test.go
@@ -13,10 +13,10 @@
 
 func instance(id string) *Instance { return &Instance{ID: id, Service: "shop"} }
 
-func TestWholeReplacesAndBatchesExtend(t *testing.T) {
+func TestSnapshotReplacesAndBatchesExtend(t *testing.T) {
 	s := NewState()
 	usable, _ := s.Join(Batch{From: 3, To: 4})
-	must.False(t, usable) // nothing is known yet
+	must.False(t, usable) // the state is empty
 	_, changed := s.Join(Batch{Whole: true, To: 5, Changes: []Change{
 		{Revision: 2, Configuration: &Configuration{Version: 7}}, {Revision: 5, Instance: instance("a")},
 	}})
@@ -28,7 +28,7 @@
 	must.SliceEmpty(t, s.Instances())
 	must.Eq(t, 7, s.Configuration().Version)
 	_, changed = s.Join(Batch{Whole: true, To: 6, Changes: []Change{{Revision: 5, Instance: instance("a")}}})
-	must.False(t, changed) // older than what is known
+	must.False(t, changed) // older than the state
 }
 
 func TestConfigurationNeverGoesBack(t *testing.T) {
@@ -37,12 +37,12 @@
 	s.Join(Batch{From: 5, To: 6, Changes: []Change{{Revision: 6, Configuration: &Configuration{Version: 8}}}})
 	must.Eq(t, 9, s.Configuration().Version)
 	s.Join(Batch{Whole: true, To: 7})
-	must.Eq(t, 9, s.Configuration().Version) // a whole without one takes none away
+	must.Eq(t, 9, s.Configuration().Version) // a snapshot without a configuration keeps the current one
 }
 
-// A record that goes without a word of leaving may stand for an instance that
-// lives, until it is back, or its address is another's, or it is taken for gone. One
-// that said that it leaves has left.
+// An instance whose record is removed without announcing that it leaves may still run. It stays
+// in Lapsed until its record is back, another instance records its address, or it is forgotten.
+// An instance that had announced that it leaves is not listed.
 func TestLapsedInstances(t *testing.T) {
 	lapsed := func(changes ...Change) []Instance {
 		s := NewState()
@@ -56,23 +56,23 @@
 		}
 		return s.Lapsed()
 	}
-	gone := Change{Removed: "a"}
+	removed := Change{Removed: "a"}
 	must.SliceEmpty(t, lapsed())
-	must.Eq(t, []Instance{{ID: "a", Address: "10.0.0.1:80"}}, lapsed(gone))
+	must.Eq(t, []Instance{{ID: "a", Address: "10.0.0.1:80"}}, lapsed(removed))
 	must.SliceEmpty(t, lapsed(Change{Removed: "b"}))
-	must.SliceEmpty(t, lapsed(gone, Change{Instance: &Instance{ID: "a", Address: "10.0.0.1:80"}}))
-	must.SliceEmpty(t, lapsed(gone, Change{Instance: &Instance{ID: "c", Address: "10.0.0.1:80"}}))
+	must.SliceEmpty(t, lapsed(removed, Change{Instance: &Instance{ID: "a", Address: "10.0.0.1:80"}}))
+	must.SliceEmpty(t, lapsed(removed, Change{Instance: &Instance{ID: "c", Address: "10.0.0.1:80"}}))
 
 	s := NewState()
 	s.Join(Batch{Whole: true, To: 1, Changes: []Change{{Revision: 1, Instance: instance("a")}}})
-	s.Join(Batch{Whole: true, To: 2}) // a whole that lacks it
+	s.Join(Batch{Whole: true, To: 2}) // a snapshot that lacks the instance
 	must.Len(t, 1, s.Lapsed())
 	s.ForgetLapsed("a")
 	must.SliceEmpty(t, s.Lapsed())
 }
 
-// Crossed, repeated and lost batches lead to the same state as the store's.
-func TestJoinsConverge(t *testing.T) {
+// Reordered, repeated and lost batches lead to the same state as the store's.
+func TestBatchesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := NewState()
 		truth.Join(Batch{Whole: true, To: 1})
@@ -92,7 +92,7 @@
 			}
 		}
 		if behind.Revision() > truth.Revision() {
-			t.Fatalf("the follower is ahead")
+			t.Fatalf("the follower is ahead of the store")
 		}
 		behind.Join(truth.Since(behind.Position()))
 		must.Eq(t, truth.Instances(), behind.Instances())
@@ -107,30 +107,30 @@
 		}
 	}
 	must.NoError(t, good().Validate())
-	for name, spoil := range map[string]func(*Configuration){
+	for name, corrupt := range map[string]func(*Configuration){
 		"two routes are named":  func(c *Configuration) { c.Routes = append(c.Routes, c.Routes[0]) },
 		"has host":              func(c *Configuration) { c.Routes[0].Host = "" },
 		"has prefix":            func(c *Configuration) { c.Routes[0].PathPrefix = "/p" },
-		"has time-out":          func(c *Configuration) { c.Routes[0].Timeout = 0 },
-		"goes nowhere":          func(c *Configuration) { c.Routes[0].Targets = nil },
+		"has timeout":           func(c *Configuration) { c.Routes[0].Timeout = 0 },
+		"has no targets":        func(c *Configuration) { c.Routes[0].Targets = nil },
 		"which is not declared": func(c *Configuration) { c.Routes[0].Targets[0].Service = "other" },
 		"has weight -1":         func(c *Configuration) { c.Routes[0].Targets[0].Weight = -1 },
 		"tenant 0 has no name":  func(c *Configuration) { c.Tenants = []Tenant{{}} },
 		"two tenants are named": func(c *Configuration) { c.Tenants = []Tenant{{Name: "a"}, {Name: "a"}} },
 		"requests a second":     func(c *Configuration) { c.Tenants = []Tenant{{Name: "a", RatePerSecond: -1}} },
-		"hold the same key": func(c *Configuration) {
+		"have the same key": func(c *Configuration) {
 			shared := []KeyDigest{DigestKey("k")}
 			c.Tenants = []Tenant{{Name: "a", Keys: shared}, {Name: "b", Keys: shared}}
 		},
 		"has no weight": func(c *Configuration) { c.Routes[0].Targets[0].Weight = 0 },
 	} {
 		bad := good()
-		spoil(bad)
+		corrupt(bad)
 		must.ErrorContains(t, bad.Validate(), name)
 	}
 }
 
-// drawConfiguration draws routes with names from a small set.
+// drawConfiguration draws routes whose names come from a small set.
 func drawConfiguration(t *rapid.T, version uint64) *Configuration {
 	configuration := &Configuration{Version: version, Services: map[string]Service{}}
 	for _, service := range []string{"shop", "press"} {
@@ -150,7 +150,7 @@
 	return configuration
 }
 
-// drawTenants draws no tenants at all, none of those that there may be, or some.
+// drawTenants draws nil, an empty list or some tenants.
 func drawTenants(t *rapid.T) []Tenant {
 	if rapid.Bool().Draw(t, "keyless") {
 		return nil
@@ -165,44 +165,44 @@
 	return tenants
 }
 
-// byTenant sorts tenants, whose order means nothing.
-func byTenant(tenants []Tenant) []Tenant {
+// sortedTenants sorts tenants by name, since their order has no meaning.
+func sortedTenants(tenants []Tenant) []Tenant {
 	sorted := slices.Clone(tenants)
 	slices.SortFunc(sorted, func(a, b Tenant) int { return strings.Compare(a.Name, b.Name) })
 	return sorted
 }
 
-// byName sorts routes, whose order means nothing.
-func byName(routes []Route) []Route {
+// sortedRoutes sorts routes by name, since their order has no meaning.
+func sortedRoutes(routes []Route) []Route {
 	sorted := slices.Clone(routes)
 	slices.SortFunc(sorted, func(a, b Route) int { return strings.Compare(a.Name, b.Name) })
 	return sorted
 }
 
-// A peer that holds any former version, also one that it learned elsewhere, comes
-// to the same configuration by what it is told.
-func TestDifferencesLeadToTheConfiguration(t *testing.T) {
+// A peer with any earlier version of the configuration, even one received from another node,
+// arrives at the same configuration.
+func TestDifferencesYieldSameConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		truth, elsewhere := NewState(), NewState()
+		truth, other := NewState(), NewState()
 		for revision := uint64(1); revision < 14; revision++ {
 			change := Change{Revision: revision, Configuration: drawConfiguration(t, revision)}
 			batch := Batch{From: revision - 1, To: revision, Whole: revision == 1, Changes: []Change{change}}
-			elsewhere.Join(batch)
+			other.Join(batch)
 			if revision == 1 || rapid.Bool().Draw(t, "seen") {
-				truth.Join(elsewhere.Since(Position{Point: truth.Point()})) // whole configurations, some missed
+				truth.Join(other.Since(Position{Point: truth.Point()})) // full configurations, some of them missed
 			}
 			peer := NewState()
-			peer.Join(elsewhere.Since(Position{}))
+			peer.Join(other.Since(Position{}))
 			if truth.Revision() < peer.Revision() {
 				continue
 			}
 			for next := revision + 1; next < revision+4; next++ {
 				truth.Join(Batch{From: next - 1, To: next, Changes: []Change{{Revision: next, Configuration: drawConfiguration(t, next)}}})
 			}
-			usable, _ := peer.Join(sent(t, truth.Since(peer.Position())))
+			usable, _ := peer.Join(roundTrip(t, truth.Since(peer.Position())))
 			must.True(t, usable)
-			must.Eq(t, byName(truth.Configuration().Routes), byName(peer.Configuration().Routes))
-			must.Eq(t, byTenant(truth.Configuration().Tenants), byTenant(peer.Configuration().Tenants))
+			must.Eq(t, sortedRoutes(truth.Configuration().Routes), sortedRoutes(peer.Configuration().Routes))
+			must.Eq(t, sortedTenants(truth.Configuration().Tenants), sortedTenants(peer.Configuration().Tenants))
 			must.Eq(t, truth.Configuration().Tenants == nil, peer.Configuration().Tenants == nil)
 			must.Eq(t, truth.Configuration().Services, peer.Configuration().Services)
 			must.Eq(t, truth.Configuration().Version, peer.Configuration().Version)
@@ -211,8 +211,8 @@
 	})
 }
 
-// sent is a batch after its way between two nodes.
-func sent(t *rapid.T, batch Batch) Batch {
+// roundTrip returns a batch after encoding and decoding.
+func roundTrip(t *rapid.T, batch Batch) Batch {
 	line, err := json.Marshal(batch)
 	must.NoError(t, err)
 	var received Batch
@@ -220,7 +220,7 @@
 	return received
 }
 
-// A change of one route carries that route alone.
+// A change of one route transfers only that route.
 func TestDifferenceIsSmall(t *testing.T) {
 	s := NewState()
 	first := &Configuration{Version: 1, Services: map[string]Service{"shop": {}}}
@@ -230,19 +230,19 @@
 	second := &Configuration{Version: 2, Services: map[string]Service{"shop": {}}, Routes: slices.Clone(first.Routes)}
 	second.Routes[7].Priority = 1
 	s.Join(Batch{Whole: true, To: 1, Changes: []Change{{Revision: 1, Configuration: first}}})
-	held := s.Position()
+	position := s.Position()
 	s.Join(Batch{From: 1, To: 2, Changes: []Change{{Revision: 2, Configuration: second}}})
-	batch := s.Since(held)
+	batch := s.Since(position)
 	must.Len(t, 1, batch.Changes)
 	must.Len(t, 1, batch.Changes[0].Difference.Put)
 	must.SliceEmpty(t, batch.Changes[0].Difference.Remove)
 	must.MapEmpty(t, batch.Changes[0].Difference.Services)
 }
 
-// A worker that crashed and started again has two records until the first is
-// removed. The later one counts, whichever id sorts first: else the worker's node
-// refused what was sent to the worker that runs.
-func TestInstancesAtOneAddress(t *testing.T) {
+// A worker that crashed and restarted has two records until the first one is removed. The later
+// one counts, whichever id sorts first; otherwise the worker's node rejected requests sent to the
+// running worker.
+func TestLatestInstanceAtAddressCounts(t *testing.T) {
 	for _, ids := range [][2]string{{"i-a", "i-b"}, {"i-b", "i-a"}} {
 		state := NewState()
 		crashed := Instance{ID: ids[0], Service: "s", Address: "10.0.0.1:80"}
@@ -256,7 +256,7 @@
 	}
 }
 
-// Evacuations reach a peer as news and as part of the whole, and their end does, too.
+// Evacuations and their ends reach a peer both as changes and in a snapshot.
 func TestEvacuations(t *testing.T) {
 	s, peer := NewState(), NewState()
 	s.Join(Batch{Whole: true, To: 2, Changes: []Change{{Revision: 1, Configuration: &Configuration{Version: 1}}, {Revision: 2, Evacuation: &Evacuation{Zone: "z1"}}}})
@@ -269,20 +269,20 @@
 	peer.Join(s.Since(peer.Position()))
 	must.Eq(t, []string{"z2"}, peer.Evacuated())
 	must.Eq(t, []string{"z2"}, s.Evacuated())
-	_, changed := s.Join(Batch{Whole: true, To: 9}) // read anew while no zone is evacuated
+	_, changed := s.Join(Batch{Whole: true, To: 9}) // read again while no zone is evacuated
 	must.True(t, changed)
 	must.SliceEmpty(t, s.Evacuated())
 }
 
-// A whole tells a peer that holds a configuration no more than what differs from it, and
-// one that holds another than it said asks anew.
-func TestWholeTellsWhatDiffers(t *testing.T) {
+// A snapshot for a peer that has a configuration contains only the difference to it. A peer that
+// has another configuration can't use the snapshot.
+func TestSnapshotCarriesConfigurationDifference(t *testing.T) {
 	configuration := func(version uint64, routes int) *Configuration {
-		made := &Configuration{Version: version}
+		result := &Configuration{Version: version}
 		for index := range routes {
-			made.Routes = append(made.Routes, Route{Name: fmt.Sprintf("r-%d", index), Host: "a.example", PathPrefix: "/", Timeout: 1})
+			result.Routes = append(result.Routes, Route{Name: fmt.Sprintf("r-%d", index), Host: "a.example", PathPrefix: "/", Timeout: 1})
 		}
-		return made
+		return result
 	}
 	s, peer := NewState(), NewState()
 	s.Join(Batch{Whole: true, To: 2, Changes: []Change{{Revision: 1, Configuration: configuration(1, 1600)}, {Revision: 2, Instance: instance("a")}}})
--- a/internal/catalog/tenant.go
+++ b/internal/catalog/tenant.go
@@ -9,35 +9,34 @@
 	"sliphead/internal/fault"
 )
 
-// Tenant is a customer of the mesh. Its callers prove that they are its by one of its keys.
+// Tenant is a customer of the mesh. Its callers authenticate with one of its keys.
 type Tenant struct {
 	Name          string      `json:"name"`
 	Keys          []KeyDigest `json:"keys"`
-	Priority      int         `json:"priority"`                // 0 is served first; comes before that of a route
-	RatePerSecond float64     `json:"ratePerSecond,omitempty"` // requests that it may make over the whole mesh; 0: not bounded
-	Burst         float64     `json:"burst,omitempty"`         // requests that it may make beside, after a pause
-	Regions       []string    `json:"regions,omitempty"`       // in which alone its requests may be; empty: in any
+	Priority      int         `json:"priority"`                // 0 is served first; takes precedence over the route's priority
+	RatePerSecond float64     `json:"ratePerSecond,omitempty"` // maximum rate over the whole mesh; 0: unlimited
+	Burst         float64     `json:"burst,omitempty"`         // additional requests allowed after a pause
+	Regions       []string    `json:"regions,omitempty"`       // regions that its requests may not leave; empty: any region
 }
 
-// KeyDigest stands for a tenant's key. Nodes hold and tell each other digests alone, so that
-// neither a log nor a message between nodes gives a key away, and the time of a look-up by
-// digest says nothing about the key.
+// KeyDigest is the digest of a tenant's key. Nodes store and exchange only digests, so that
+// neither a log nor a message between nodes discloses a key, and the duration of a lookup by
+// digest reveals nothing about the key.
 type KeyDigest [digestLength]byte
 
-// Lengths in bytes. Sixteen leave no two keys with one digest; six tell the keys of a mesh
-// apart in a log line and in a message that names one of them.
+// Lengths in bytes. With sixteen, no two keys share a digest; six distinguish the keys of one
+// mesh in a log line or in a message that names a key.
 const (
 	digestLength = 16
 	tagLength    = 6
 )
 
-// DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest {
 	sum := sha256.Sum256([]byte(key))
 	return KeyDigest(sum[:digestLength])
 }
 
-// Tag is a short name of the key, fit for logs.
+// Tag returns a short name of the key that may be logged.
 func (d KeyDigest) Tag() string { return base64.RawURLEncoding.EncodeToString(d[:tagLength]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -49,7 +48,7 @@
 func (d *KeyDigest) UnmarshalText(text []byte) error {
 	read, err := base64.RawURLEncoding.DecodeString(string(text))
 	if err != nil || len(read) != digestLength {
-		return fault.New(fault.Peer, "run the same release on all nodes", "%q is no digest of a key", text)
+		return fault.New(fault.Peer, "run the same release on all nodes", "%q is not a key digest", text)
 	}
 	*d = KeyDigest(read)
 	return nil
@@ -62,15 +61,15 @@
 
 // TenantChange leads from the tenants of one configuration to those of another.
 type TenantChange struct {
-	// None says that the later configuration knows no tenants, so that its callers need no
-	// key. One that knows tenants and has lost the last of them lets nobody in.
+	// None means that the later configuration has no tenant list, so that its callers need no
+	// key. With an empty list of tenants, no caller is admitted.
 	None   bool     `json:"none,omitempty"`
 	Put    []Tenant `json:"put,omitempty"`
 	Remove []string `json:"remove,omitempty"` // names
 }
 
-// tenantsChanged returns what leads from some tenants to others, nil when they are the same.
-func tenantsChanged(from, to []Tenant) *TenantChange {
+// newTenantChange returns the change between two lists of tenants, nil if they are the same.
+func newTenantChange(from, to []Tenant) *TenantChange {
 	if to == nil && from == nil {
 		return nil
 	}
@@ -84,7 +83,7 @@
 	}
 	for index := range to {
 		tenant := &to[index]
-		if held := before[tenant.Name]; held == nil || !held.equals(tenant) {
+		if previous := before[tenant.Name]; previous == nil || !previous.equals(tenant) {
 			change.Put = append(change.Put, *tenant)
 		}
 		delete(before, tenant.Name)
@@ -128,7 +127,7 @@
 	return to
 }
 
-// validateTenants refuses tenants that can't be told apart, and limits that mean nothing.
+// validateTenants rejects duplicate names, shared keys and negative limits.
 func (c *Configuration) validateTenants() error {
 	names := make(map[string]bool, len(c.Tenants))
 	holders := make(map[KeyDigest]string)
@@ -140,12 +139,12 @@
 		case names[tenant.Name]:
 			return fault.New(fault.Declaration, "give each tenant a name of its own", "two tenants are named %q", tenant.Name)
 		case tenant.RatePerSecond < 0 || tenant.Burst < 0:
-			return fault.New(fault.Declaration, "give limits of zero or more", "tenant %q may make %g requests a second and %g beside", tenant.Name, tenant.RatePerSecond, tenant.Burst)
+			return fault.New(fault.Declaration, "give limits of zero or more", "tenant %q has a limit of %g requests a second and a burst of %g", tenant.Name, tenant.RatePerSecond, tenant.Burst)
 		}
 		names[tenant.Name] = true
 		for _, key := range tenant.Keys {
-			if other, taken := holders[key]; taken && other != tenant.Name {
-				return fault.New(fault.Declaration, "give each tenant keys of its own", "tenants %q and %q hold the same key", other, tenant.Name)
+			if other, shared := holders[key]; shared && other != tenant.Name {
+				return fault.New(fault.Declaration, "give each tenant keys of its own", "tenants %q and %q have the same key", other, tenant.Name)
 			}
 			holders[key] = tenant.Name
 		}
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -8,8 +8,8 @@
 	"sliphead/internal/fault"
 )
 
-// Validate checks a configuration. A bad one is refused whole: the error names
-// the first defect and its remedy.
+// Validate returns an error for the first defect of the configuration, with its remedy. A
+// configuration with a defect is rejected as a whole.
 func (c *Configuration) Validate() error {
 	names := make(map[string]bool, len(c.Routes))
 	for index := range c.Routes {
@@ -32,9 +32,9 @@
 	case !strings.HasPrefix(route.PathPrefix, "/") || !strings.HasSuffix(route.PathPrefix, "/"):
 		return fault.New(fault.Declaration, "begin and end the prefix with a slash", "route %q has prefix %q", route.Name, route.PathPrefix)
 	case route.Timeout <= 0:
-		return fault.New(fault.Declaration, "give the route a time-out above zero", "route %q has time-out %s", route.Name, route.Timeout)
+		return fault.New(fault.Declaration, "give the route a timeout above zero", "route %q has timeout %s", route.Name, route.Timeout)
 	case len(route.Targets) == 0:
-		return fault.New(fault.Declaration, "name a service for the route", "route %q goes nowhere", route.Name)
+		return fault.New(fault.Declaration, "give the route at least one target service", "route %q has no targets", route.Name)
 	}
 	total := 0
 	for _, target := range route.Targets {
@@ -52,16 +52,15 @@
 	return nil
 }
 
-// Bounds of what a worker may record of itself. The store takes keys of 200 bytes; the
-// others lie far above what workers are.
+// Bounds of a worker's record. The store accepts keys of up to 200 bytes; the other bounds are
+// far above the values of real workers.
 const (
-	maxIDLength = 200
-	maxCapacity = 1 << 16
-	maxCold     = 24 * time.Hour
+	maxIDLength      = 200
+	maxCapacity      = 1 << 16
+	maxColdRemaining = 24 * time.Hour
 )
 
-// Validate checks what a worker is said to have recorded of itself: other writers may have
-// written it, or have written over it.
+// Validate checks a worker's record, since other writers may have written or overwritten it.
 func (i *Instance) Validate() error {
 	const remedy = "find out who writes to the store beside the workers"
 	address, err := netip.ParseAddrPort(i.Address)
@@ -74,15 +73,15 @@
 		return fault.New(fault.Source, remedy, "the record of %q has service %.50q and zone %.50q", i.ID, i.Service, i.Zone)
 	case i.Capacity < 1 || i.Capacity > maxCapacity:
 		return fault.New(fault.Source, remedy, "the record of %q has capacity %d", i.ID, i.Capacity)
-	case i.ColdRemaining < 0 || i.ColdRemaining > maxCold:
+	case i.ColdRemaining < 0 || i.ColdRemaining > maxColdRemaining:
 		return fault.New(fault.Source, remedy, "the record of %q is cold for %s", i.ID, i.ColdRemaining)
 	case i.Born < 0:
-		return fault.New(fault.Source, remedy, "the record of %q tells a start at %d", i.ID, i.Born)
+		return fault.New(fault.Source, remedy, "the record of %q has start time %d", i.ID, i.Born)
 	}
 	return nil
 }
 
-// validID reports whether an id can go into a header as it is: it is sent to the worker.
+// validID reports whether an id can be sent to the worker in a header without escaping.
 func validID(id string) bool {
 	if id == "" || len(id) > maxIDLength {
 		return false
