--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -29,48 +29,48 @@
 	"sliphead/internal/traffic"
 )
 
-// Adapter speaks a platform's store, callers and workers for a catalog node.
+// Adapter translates between a catalog node and the platform's store, callers and workers.
 type Adapter struct {
-	// OpenStore returns a client of the store at host:port, called from a local
-	// IP address.
+	// OpenStore returns a client of the store at host:port that connects from a local IP
+	// address.
 	OpenStore func(address, local string) replicator.Store
 	Protocol  traffic.Protocol
 }
 
-// CatalogNode is one process of a mesh that a linearizable store serves:
-// replication in place of membership and distribution, no claims, no probes of
-// the worker.
+// CatalogNode is one process of a mesh whose configuration and workers are recorded in a
+// linearizable store. Replication replaces membership and distribution; there are no claims
+// and no probes of the worker.
 type CatalogNode struct {
-	settings   *settings.Settings
-	options    Options
-	holder     *snapshot.Holder
-	replicator *replicator.Replicator
-	quarantine *keeper.Keeper
-	quota      *quotakeeper.Keeper // nil: tenants have no limit
-	inbound    *traffic.Inbound
-	outbound   *traffic.Outbound
-	refused    *logging.Problems // with items of the store
-	stopping   chan struct{}     // closed when a planned stop begins
-	stop       func()            // begins it
-	stopBegan  time.Time         // set before stopping is closed
-	denials    atomic.Int32      // answers that the node is not ready, since then
+	settings        *settings.Settings
+	options         Options
+	holder          *snapshot.Holder
+	replicator      *replicator.Replicator
+	quarantine      *keeper.Keeper
+	quota           *quotakeeper.Keeper // nil: tenants have no limit
+	inbound         *traffic.Inbound
+	outbound        *traffic.Outbound
+	itemProblems    *logging.Problems // items of the store that can't be used
+	stopping        chan struct{}     // closed when a planned stop begins
+	stop            func()            // begins a planned stop
+	stopBegan       time.Time         // set before stopping is closed
+	notReadyReplies atomic.Int32      // not-ready replies to readiness requests since the stop began
 }
 
-// leaseForever is for views that never end by themselves: a catalog's age is
-// watched by replication, and requests go on while the store is away.
-const leaseForever = 50 * 365 * 24 * time.Hour
+// unlimitedLease keeps views valid: replication tracks the age of the catalog, and requests
+// are served on while the store is unavailable.
+const unlimitedLease = 50 * 365 * 24 * time.Hour
 
-// NewCatalog assembles a node. It opens no socket.
+// NewCatalog assembles a catalog node. It opens no socket.
 func NewCatalog(configured *settings.Settings, adapter Adapter, options Options) (*CatalogNode, error) {
 	if options.Registry == nil {
 		options.Registry = prometheus.NewRegistry()
 	}
-	n := &CatalogNode{settings: configured, options: options, holder: &snapshot.Holder{}, stopping: make(chan struct{}), refused: logging.NewProblems(options.Logger)}
+	n := &CatalogNode{settings: configured, options: options, holder: &snapshot.Holder{}, stopping: make(chan struct{}), itemProblems: logging.NewProblems(options.Logger)}
 	n.stop = sync.OnceFunc(n.beginStop)
-	n.holder.Renew(time.Now().Add(leaseForever))
+	n.holder.Renew(time.Now().Add(unlimitedLease))
 	peer, err := netip.ParseAddrPort(configured.Listen.Peer)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Settings, "give listen.peer as IP:port", "read listen.peer")
+		return nil, fault.Wrap(err, fault.Settings, "set listen.peer to IP:port", "parse listen.peer")
 	}
 	address, port, _ := net.SplitHostPort(peer.String())
 	n.replicator = replicator.New(replicator.Config{
@@ -82,7 +82,7 @@
 		Freshness: configured.Source.Freshness.Duration,
 		Fast:      replication.FastLink(configured.Limits.LinkMbps, configured.Source.Freshness.Duration),
 		Store:     adapter.OpenStore(configured.Source.Store, address),
-		Problem:   n.itemRefused,
+		Problem:   n.logUnusableItem,
 		Logger:    options.Logger,
 		Changed:   n.publish,
 		Retain:    n.retain,
@@ -96,18 +96,18 @@
 	n.inbound = traffic.NewInbound(config)
 	n.outbound = traffic.NewOutbound(config)
 	n.outbound.UseLocal(n.inbound)
-	options.Registry.MustRegister(catalogState{node: n})
+	options.Registry.MustRegister(catalogCollector{node: n})
 	return n, nil
 }
 
-// Bounds of bodies that a catalog node holds whole, in bytes.
+// Maximum sizes in bytes of the request and response bodies that a catalog node buffers whole.
 const (
-	wholeBody   = 4 << 20
-	wholeAnswer = 256 << 10
+	maxBufferedRequest  = 4 << 20
+	maxBufferedResponse = 256 << 10
 )
 
-// bodyTimeout is how long a worker's node waits for more of a body that it has
-// asked for while a slot is held.
+// bodyTimeout is how long a worker's node waits for more of a request body that it has asked
+// for, while the request holds a slot.
 const bodyTimeout = 500 * time.Millisecond
 
 func (n *CatalogNode) trafficConfig(protocol traffic.Protocol) traffic.Config {
@@ -127,8 +127,8 @@
 		Quarantine:    n.quarantine,
 		KnowledgeAge:  n.replicator.Age,
 		Limits: traffic.Limits{
-			SmallBody:      wholeBody,
-			SmallAnswer:    wholeAnswer,
+			SmallBody:      maxBufferedRequest,
+			SmallAnswer:    maxBufferedResponse,
 			RetryRatio:     n.settings.Retry.Ratio,
 			RetrySlack:     n.settings.Retry.Slack,
 			ColdOverage:    n.settings.Cold.Overage,
@@ -151,13 +151,13 @@
 	return config
 }
 
-// connectTimeout bounds opening a connection, so that time is left for another
-// node.
+// connectTimeout limits opening a connection, so that time remains to try another node.
 const connectTimeout = 250 * time.Millisecond
 
-// publish puts what the catalog says in force.
+// publish builds a view from the catalog's state and activates it. lapses are the instances
+// whose records were removed.
 func (n *CatalogNode) publish(state *catalog.State, lapses []replication.Lapse) {
-	n.tellHosts(state)
+	n.updateHosts(state)
 	_, port, _ := net.SplitHostPort(n.settings.Listen.Inbound)
 	before, _ := n.holder.Current(time.Now())
 	view := snapshot.FromCatalog(state, snapshot.CatalogInput{
@@ -180,27 +180,30 @@
 	n.logPublished(before, view, state.Revision())
 }
 
-// lapsedPart is the part of the time that a leaving worker may still be sent
-// requests for which one without a record is.
-const lapsedPart = 0.75
+// lapsedFraction is the share of drain.worker during which an instance whose record was
+// removed may still be sent requests. A leaving worker with a record may be sent requests for
+// all of it.
+const lapsedFraction = 0.75
 
-// lapsed says until when instances whose records are gone may be sent requests.
+// lapsed returns the deadlines until which instances whose records were removed may be sent
+// requests.
 func (n *CatalogNode) lapsed(lapses []replication.Lapse) []snapshot.LapsedInstance {
 	var lapsed []snapshot.LapsedInstance
 	for _, lapse := range lapses {
-		until := lapse.Since.Add(time.Duration(lapsedPart * float64(n.settings.Drain.Worker.Duration)))
+		until := lapse.Since.Add(time.Duration(lapsedFraction * float64(n.settings.Drain.Worker.Duration)))
 		lapsed = append(lapsed, snapshot.LapsedInstance{Instance: lapse.Instance, Until: until})
 	}
 	return lapsed
 }
 
-// retain tells the handler of the local worker whether this node answers for it.
+// retain sets whether the inbound handler retains the local worker.
 func (n *CatalogNode) retain(retains bool) {
 	n.inbound.Retain(retains)
 	logging.Event(n.options.Logger, "worker.retained", logging.Fields{"retains": retains})
 }
 
-// logPublished tells of a new version and of a change of the local worker.
+// logPublished logs a new version, a change of the evacuated zones and a change of the local
+// worker.
 func (n *CatalogNode) logPublished(before, view *snapshot.View, revision uint64) {
 	if before == nil || before.Version != view.Version {
 		logging.Event(n.options.Logger, "version.activated", logging.Fields{"version": view.Version.Revision, "revision": revision, "routes": len(view.Routes)})
@@ -215,11 +218,10 @@
 	}
 }
 
-// itemRefused tells once of an item of the store that can't be used, however often it is
-// read. Of configurations the last good one serves on; a record that can't be used names no
-// worker.
-func (n *CatalogNode) itemRefused(err error) {
-	n.refused.Log("version.refused", err.Error(), err, nil)
+// logUnusableItem logs an item of the store that can't be used, once however often it is read.
+// The last usable configuration stays in force; an unusable instance record adds no worker.
+func (n *CatalogNode) logUnusableItem(err error) {
+	n.itemProblems.Log("version.refused", err.Error(), err, nil)
 }
 
 // Run serves until ctx ends or a planned stop has finished.
@@ -232,13 +234,13 @@
 	group.Go(func() error { return n.quarantine.Run(ctx) })
 	group.Go(func() error { return n.runQuota(ctx) })
 	limits := n.trafficConfig(traffic.Protocol{}).Limits
-	callers := n.listener("outbound", n.settings.Listen.Outbound, n.outbound)
-	callers.safe, callers.behind = n.outbound.MayRunAhead, n.outbound.RefuseBehind
-	group.Go(func() error { return callers.serve(ctx) })
-	nodes := n.listener("inbound", n.settings.Listen.Inbound, n.inbound)
-	group.Go(func() error { return nodes.serve(ctx) })
-	operators := &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: limits.HeaderTimeout}
-	group.Go(func() error { return serveUntil(ctx, n.settings.Listen.Admin, operators, nil) })
+	outboundListener := n.listener("outbound", n.settings.Listen.Outbound, n.outbound)
+	outboundListener.safe, outboundListener.rejectClosing = n.outbound.MayRunAhead, n.outbound.RefuseBehind
+	group.Go(func() error { return outboundListener.serve(ctx) })
+	inboundListener := n.listener("inbound", n.settings.Listen.Inbound, n.inbound)
+	group.Go(func() error { return inboundListener.serve(ctx) })
+	adminServer := &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: limits.HeaderTimeout}
+	group.Go(func() error { return serveUntil(ctx, n.settings.Listen.Admin, adminServer, nil) })
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
@@ -254,13 +256,13 @@
 func (n *CatalogNode) listener(side, address string, handler http.Handler) requestListener {
 	return requestListener{
 		side: side, address: address, handler: handler,
-		limits: n.trafficConfig(traffic.Protocol{}).Limits, connections: n.settings.Limits.MaxConnections, options: n.options,
+		limits: n.trafficConfig(traffic.Protocol{}).Limits, maxConnections: n.settings.Limits.MaxConnections, options: n.options,
 	}
 }
 
 func (n *CatalogNode) adminHandler() http.Handler {
 	return admin.Handler(admin.Config{
-		Ready:    n.readyAsked,
+		Ready:    n.handleReadiness,
 		Status:   func() any { return n.Status(context.Background()) },
 		Drain:    n.Stop,
 		Release:  n.release,
@@ -269,8 +271,7 @@
 	})
 }
 
-// release has a request that is held sent to workers again, everywhere, and tells in what
-// state it was.
+// release lifts the quarantine of a request on all nodes and returns the state that it was in.
 func (n *CatalogNode) release(text string) (string, error) {
 	fingerprint, err := quarantine.ParseFingerprint(text)
 	if err != nil {
@@ -281,7 +282,7 @@
 	return n.quarantine.LetGo(ctx, fingerprint, "operator").State.String(), nil
 }
 
-// CatalogStatus is what a catalog node tells operators.
+// CatalogStatus is the state of a catalog node that its admin listener reports to operators.
 type CatalogStatus struct {
 	Node        string              `json:"node"`
 	Zone        string              `json:"zone"`
@@ -292,14 +293,14 @@
 	Slots       int                 `json:"slotsInUse"`
 	Queued      int                 `json:"queued"`
 	InFlight    int                 `json:"inFlight"`
-	Evacuated   []string            `json:"evacuated,omitempty"` // zones whose workers are sent nothing
+	Evacuated   []string            `json:"evacuated,omitempty"` // zones whose workers are sent no requests
 	Quarantine  keeper.Status       `json:"quarantine"`
 	Quota       *quota.Status       `json:"quota,omitempty"` // nil: tenants have no limit
-	Off         []string            `json:"off"`             // parts that the store makes needless
-	Limit       traffic.WorkerLimit `json:"limit"`           // that the worker beside this node names
+	Off         []string            `json:"off"`             // parts that are not needed with a store
+	Limit       traffic.WorkerLimit `json:"limit"`           // request rate limit announced by the local worker
 }
 
-// evacuated returns the zones whose workers are sent nothing.
+// evacuated returns the zones whose workers are sent no requests.
 func (n *CatalogNode) evacuated() []string {
 	view, _ := n.holder.Current(time.Now())
 	if view == nil {
@@ -308,12 +309,12 @@
 	return view.Evacuated
 }
 
-// partsOff are the parts of a node that a catalog node does without.
-func partsOff() []string {
+// disabledParts returns the parts of a node that are not needed with a store.
+func disabledParts() []string {
 	return []string{"membership", "staging", "claims", "probes", "schedules", "peer encryption"}
 }
 
-// Status tells the state of now.
+// Status returns the current state.
 func (n *CatalogNode) Status(ctx context.Context) CatalogStatus {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -324,11 +325,11 @@
 		Replication: n.replicator.Status(ctx),
 		Slots:       n.inbound.Busy(), Queued: n.inbound.Queued(), InFlight: n.InFlight(),
 		Quarantine: n.quarantine.Status(), Quota: n.quotaStatus(ctx),
-		Off: partsOff(), Evacuated: n.evacuated(), Limit: n.inbound.Limit(),
+		Off: disabledParts(), Evacuated: n.evacuated(), Limit: n.inbound.Limit(),
 	}
 }
 
-// ready tells whether the node serves, and why not.
+// ready reports whether the node can serve, with the reason when it can't.
 func (n *CatalogNode) ready() (bool, string) {
 	select {
 	case <-n.stopping:
@@ -341,7 +342,7 @@
 	return true, ""
 }
 
-// InFlight counts the requests that run now.
+// InFlight returns the number of requests in flight.
 func (n *CatalogNode) InFlight() int { return n.inbound.InFlight() + n.outbound.InFlight() }
 
 // Stop begins a planned stop and returns at once.
--- a/internal/node/catalog_hosts.go
+++ b/internal/node/catalog_hosts.go
@@ -18,10 +18,10 @@
 	return advertised.Addr().String()
 }
 
-// tellHosts tells the quarantine of the nodes that it may ask, and the quotas of those that
-// hold the limits of tenants.
-func (n *CatalogNode) tellHosts(state *catalog.State) {
-	hosts := n.hostsOf(state)
+// updateHosts passes the machines of the catalog to the quarantine, as its peers, and with the
+// tenants to the quotas, as the owners of tenants' limits.
+func (n *CatalogNode) updateHosts(state *catalog.State) {
+	hosts := n.workerHosts(state)
 	addresses := make([]string, 0, len(hosts))
 	for _, host := range hosts {
 		addresses = append(addresses, host.Address)
@@ -32,8 +32,8 @@
 	}
 }
 
-// hostsOf returns the machines that have a worker on record, each of which has a node.
-func (n *CatalogNode) hostsOf(state *catalog.State) []quota.Host {
+// workerHosts returns the machines that have a worker on record. Each of them runs a node.
+func (n *CatalogNode) workerHosts(state *catalog.State) []quota.Host {
 	instances := state.Instances()
 	hosts := make([]quota.Host, 0, len(instances))
 	for _, instance := range instances {
--- a/internal/node/catalog_quota.go
+++ b/internal/node/catalog_quota.go
@@ -12,15 +12,15 @@
 	"sliphead/internal/settings"
 )
 
-// newQuota returns what holds tenants to their limits, nil where the settings name no
-// address for it.
+// newQuota returns the keeper that enforces tenants' limits, nil when the settings have no
+// listen.quota.
 func newQuota(configured *settings.Settings, logger log.Interface) (*quotakeeper.Keeper, error) {
 	if configured.Listen.Quota == "" {
 		return nil, nil
 	}
 	listen, err := netip.ParseAddrPort(configured.Listen.Quota)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Settings, "give listen.quota as IP:port", "read listen.quota")
+		return nil, fault.Wrap(err, fault.Settings, "set listen.quota to IP:port", "parse listen.quota")
 	}
 	return quotakeeper.New(quotakeeper.Config{
 		Quota: quota.Config{
@@ -35,7 +35,8 @@
 	}), nil
 }
 
-// runQuota talks to other nodes until ctx ends; without quotas it opens no socket.
+// runQuota exchanges quota messages with other nodes until ctx ends. Without quotas it opens
+// no socket.
 func (n *CatalogNode) runQuota(ctx context.Context) error {
 	if n.quota == nil {
 		return nil
@@ -43,7 +44,7 @@
 	return n.quota.Run(ctx)
 }
 
-// quotaStatus tells the state of the quotas, nil where tenants have no limit.
+// quotaStatus returns the state of the quotas, nil when tenants have no limit.
 func (n *CatalogNode) quotaStatus(ctx context.Context) *quota.Status {
 	if n.quota == nil {
 		return nil
--- a/internal/node/catalog_stop.go
+++ b/internal/node/catalog_stop.go
@@ -7,23 +7,24 @@
 	"sliphead/internal/logging"
 )
 
-// answerTime is what the last answers have to be sent.
-const answerTime = 200 * time.Millisecond
+// finalResponseTime is the time allowed to send the last responses.
+const finalResponseTime = 200 * time.Millisecond
 
-// stopPoll is how often a stopping node looks whether it has ended.
+// stopPoll is the interval at which a stopping node checks whether it may enter the next
+// phase.
 const stopPoll = 50 * time.Millisecond
 
-// beginStop makes the node leave. Whoever sees that it is not ready any more
-// already gets answers that close their connection.
+// beginStop starts a planned stop. LeaveBy is called before stopping is closed, so that
+// responses already close their connections by the time the node reports not ready.
 func (n *CatalogNode) beginStop() {
 	n.stopBegan = time.Now()
-	n.outbound.LeaveBy(n.stopBegan.Add(n.stopPart(strictPhase)), n.stopBegan.Add(n.stopPart(lastPhase)))
+	n.outbound.LeaveBy(n.stopBegan.Add(n.fractionOfStop(strictAdmission)), n.stopBegan.Add(n.fractionOfStop(forcedEnd)))
 	close(n.stopping)
 }
 
-// drain carries out a planned stop that has begun: not ready at once; once callers
-// know, no work for the local worker; then, once they have turned away and nothing
-// runs, the end.
+// drain carries out a planned stop that has begun. The node reports not ready at once. Once
+// the platform has noticed, the local worker gets no new requests. Once callers have been
+// diverted and no request is in flight, the stop ends.
 func (n *CatalogNode) drain(ctx context.Context) {
 	logging.Event(n.options.Logger, "node.draining", logging.Fields{"in_flight": n.InFlight()})
 	plan := newStopPlan(n.settings.Drain.Timeout.Duration, n.stopBegan)
@@ -36,15 +37,15 @@
 	logging.Event(n.options.Logger, "node.drained", logging.Fields{"took_ms": time.Since(n.stopBegan).Milliseconds(), "cut": n.InFlight()})
 }
 
-// stopStep takes the stop a step on, and closes what the phase closes.
+// stopStep advances the stop by one step and drains what the new phase drains.
 func (n *CatalogNode) stopStep(plan *stopPlan, before stopPhase) stopPhase {
-	view := stopView{denials: int(n.denials.Load()), worker: n.inbound.InFlight(), callers: n.outbound.InFlight()}
-	phase := plan.step(view, time.Now())
+	state := stopState{notReadyReplies: int(n.notReadyReplies.Load()), workerRequests: n.inbound.InFlight(), callerRequests: n.outbound.InFlight()}
+	phase := plan.step(state, time.Now())
 	if phase == before {
 		return phase
 	}
 	logging.Event(n.options.Logger, "node.stopPhase", logging.Fields{
-		"phase": phase.String(), "passed_ms": time.Since(n.stopBegan).Milliseconds(), "denials": view.denials, "worker": view.worker, "callers": view.callers,
+		"phase": phase.String(), "passed_ms": time.Since(n.stopBegan).Milliseconds(), "denials": state.notReadyReplies, "worker": state.workerRequests, "callers": state.callerRequests,
 	})
 	if phase >= stopHandover {
 		n.inbound.Drain()
@@ -55,25 +56,27 @@
 	return phase
 }
 
-// readyAsked answers the platform's question, and counts that it was told of a stop.
-func (n *CatalogNode) readyAsked() (bool, string) {
+// handleReadiness returns the reply to a readiness request and counts not-ready replies during
+// a stop.
+func (n *CatalogNode) handleReadiness() (bool, string) {
 	ready, reason := n.ready()
 	select {
 	case <-n.stopping:
-		n.denials.Add(1)
+		n.notReadyReplies.Add(1)
 	default:
 	}
 	return ready, reason
 }
 
-// endRequests gives what still runs its final answer and a moment to send it.
+// endRequests ends the requests that are still in flight with a final response, and waits up
+// to finalResponseTime for these to be sent.
 func (n *CatalogNode) endRequests(ctx context.Context) {
-	bounded, cancel := context.WithTimeout(ctx, answerTime)
+	bounded, cancel := context.WithTimeout(ctx, finalResponseTime)
 	defer cancel()
 	n.outbound.End()
-	_ = n.outbound.Wait(bounded) // its only error is the bound; what is left is counted as cut
+	_ = n.outbound.Wait(bounded) // its only error is the timeout; the remaining requests are logged as cut
 }
 
-func (n *CatalogNode) stopPart(part float64) time.Duration {
-	return time.Duration(part * float64(n.settings.Drain.Timeout.Duration))
+func (n *CatalogNode) fractionOfStop(share float64) time.Duration {
+	return time.Duration(share * float64(n.settings.Drain.Timeout.Duration))
 }
--- a/internal/node/configure.go
+++ b/internal/node/configure.go
@@ -16,7 +16,7 @@
 	"sliphead/internal/wire"
 )
 
-// transportConfig wires the peer transport to the control loop.
+// transportConfig connects the peer transport to the control loop.
 func (n *Node) transportConfig() transport.Config {
 	return transport.Config{
 		Bind:     n.settings.Listen.Peer,
@@ -29,7 +29,7 @@
 	}
 }
 
-// claimConfig wires the claim keeper.
+// claimConfig connects the claim keeper to the control loop and the log.
 func (n *Node) claimConfig() claim.KeeperConfig {
 	return claim.KeeperConfig{
 		Config: claim.Config{
@@ -47,12 +47,12 @@
 	}
 }
 
-// logClaim writes an event of the claim machine to the log.
+// logClaim logs an event of the claim protocol.
 func (n *Node) logClaim(event claim.Log) {
 	logging.Event(n.options.Logger, string(event.Name), logging.Fields{"service": event.Service, "count": event.Count})
 }
 
-// controlConfig wires the control loop.
+// controlConfig connects the control loop to the other parts.
 func (n *Node) controlConfig() control.Config {
 	return control.Config{
 		Membership:   n.membershipConfig(),
@@ -95,8 +95,8 @@
 	return config
 }
 
-// validate is the deterministic check that every node makes of a version. It
-// does not ask for secrets' values, which may come later.
+// validate is the deterministic check that every node makes of a version. It does not need the
+// values of secrets, which may arrive later.
 func validate(set *snapshot.Set) error {
 	findings := set.Validate()
 	if len(findings) == 0 {
--- a/internal/node/configure_test.go
+++ b/internal/node/configure_test.go
@@ -8,7 +8,7 @@
 	"sliphead/internal/settings"
 )
 
-func TestClaimsFollowTheSettings(t *testing.T) {
+func TestClaimConfigAppliesCopyOnly(t *testing.T) {
 	n := &Node{settings: settings.Default()}
 	must.False(t, n.claimConfig().CopyOnly)
 	n.settings.Claims.CopyOnly = true
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -11,26 +11,26 @@
 	"sliphead/internal/outcome"
 )
 
-// refusedConnections is how many connections beyond the bound are open at once
-// to be told so. Further ones are closed unread.
-const refusedConnections = 64
+// maxRejectedConnections is the maximum number of connections beyond the limit that are open
+// at once to be sent a rejection. Further ones are closed unread.
+const maxRejectedConnections = 64
 
-// connectionLimit bounds the open connections of one listener. A connection
-// beyond the bound has its first request refused as not run, and is closed.
+// connectionLimit limits the open connections of one listener. On a connection beyond the
+// limit the first request is rejected as not run, and the connection is closed.
 type connectionLimit struct {
 	maximum int
 
-	mutex   sync.Mutex
-	open    int             // those beyond the bound included
-	beyond  map[string]bool // remote addresses of connections beyond the bound
-	refused uint64
+	mutex    sync.Mutex
+	open     int             // including those beyond the limit
+	excess   map[string]bool // remote addresses of connections beyond the limit
+	rejected uint64
 }
 
 func newConnectionLimit(maximum int) *connectionLimit {
-	return &connectionLimit{maximum: maximum, beyond: make(map[string]bool)}
+	return &connectionLimit{maximum: maximum, excess: make(map[string]bool)}
 }
 
-// register gives the state as metrics of one side.
+// register registers the limit's metrics with the label side.
 func (l *connectionLimit) register(registry *prometheus.Registry, side string) {
 	labels := prometheus.Labels{"side": side}
 	registry.MustRegister(
@@ -46,46 +46,47 @@
 func (l *connectionLimit) counts() (open int, refused uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.open, l.refused
+	return l.open, l.rejected
 }
 
-// admit counts a connection, false when there are too many even to refuse it.
+// admit counts a new connection. It returns false when there are too many connections even to
+// send a rejection.
 func (l *connectionLimit) admit(remote string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.open >= l.maximum {
-		l.refused++
+		l.rejected++
 	}
-	if l.open >= l.maximum+refusedConnections {
+	if l.open >= l.maximum+maxRejectedConnections {
 		return false
 	}
 	if l.open >= l.maximum {
-		l.beyond[remote] = true
+		l.excess[remote] = true
 	}
 	l.open++
 	return true
 }
 
-// release takes a closed connection off the count.
+// release removes a closed connection from the count.
 func (l *connectionLimit) release(remote string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.open--
-	delete(l.beyond, remote)
+	delete(l.excess, remote)
 }
 
-func (l *connectionLimit) isBeyond(remote string) bool {
+func (l *connectionLimit) isExcess(remote string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.beyond[remote]
+	return l.excess[remote]
 }
 
-// guard refuses requests on connections beyond the bound and passes others on.
-// A refusal names the request and the try, by which the caller's node knows it
-// for its own.
+// guard rejects requests on connections beyond the limit and passes the others to handler. A
+// rejection carries the IDs of the request and the attempt, by which the caller's node
+// recognizes it as the response to its own request.
 func (l *connectionLimit) guard(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if !l.isBeyond(request.RemoteAddr) {
+		if !l.isExcess(request.RemoteAddr) {
 			handler.ServeHTTP(writer, request)
 			return
 		}
@@ -103,7 +104,7 @@
 	})
 }
 
-// listener returns inner with its connections counted.
+// listener wraps inner so that its connections are counted.
 func (l *connectionLimit) listener(inner net.Listener) net.Listener {
 	return &limitedListener{Listener: inner, limit: l}
 }
@@ -128,13 +129,13 @@
 	}
 }
 
-// limitedConn takes itself off the count when it is closed.
+// limitedConn removes itself from the count when it is closed.
 type limitedConn struct {
 	net.Conn
 	release func()
 }
 
-// CloseWrite tells the other side that nothing more comes.
+// CloseWrite shuts down the sending side of the connection.
 func (c *limitedConn) CloseWrite() error {
 	if half, can := c.Conn.(interface{ CloseWrite() error }); can {
 		return half.CloseWrite()
@@ -142,8 +143,8 @@
 	return errors.ErrUnsupported
 }
 
-// Close implements net.Conn. The count goes first, while the remote address
-// can't be in use again.
+// Close implements net.Conn. The count is reduced before the connection is closed, while the
+// remote address can't be in use by a new one.
 func (c *limitedConn) Close() error {
 	c.release()
 	return c.Conn.Close()
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -15,7 +15,7 @@
 	"sliphead/internal/outcome"
 )
 
-// client is one connection to a server.
+// client is the client side of one connection.
 type client struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -31,9 +31,9 @@
 	return response
 }
 
-// TestConnectionsBeyondTheBoundAreRefusedAsNotRun opens more connections than a
-// server may have, and one more once one of the first has been closed.
-func TestConnectionsBeyondTheBoundAreRefusedAsNotRun(t *testing.T) {
+// Opens more connections than the limit and checks that the first request on each extra one is
+// rejected as not run, and that a connection is admitted again once others were closed.
+func TestConnectionsBeyondTheLimitAreRejectedAsNotRun(t *testing.T) {
 	const maximum = 2
 	limit, run := newConnectionLimit(maximum), 0
 	server := httptest.NewUnstartedServer(limit.guard(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { run++ })))
@@ -53,23 +53,23 @@
 	for _, c := range admitted {
 		must.Eq(t, http.StatusOK, c.get(t).StatusCode)
 	}
-	refused := dial()
-	response := refused.get(t)
+	rejected := dial()
+	response := rejected.get(t)
 	must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
 	must.Eq(t, string(outcome.NotRun), response.Header.Get(outcome.Header))
 	must.Eq(t, "r1", response.Header.Get(outcome.RequestID))
 	must.Eq(t, "t1", response.Header.Get(outcome.Attempt))
 	must.True(t, response.Close)
 	must.Eq(t, maximum, run)
-	for range refusedConnections {
+	for range maxRejectedConnections {
 		dial()
 	}
-	_, err := dial().reader.ReadByte() // too many even to be told
+	_, err := dial().reader.ReadByte() // too many even for a rejection
 	must.ErrorIs(t, err, io.EOF)
 	for _, c := range open {
 		must.NoError(t, c.Close())
 	}
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { open, _ := limit.counts(); return open == 0 })))
 	must.Eq(t, http.StatusOK, dial().get(t).StatusCode)
-	must.MapEmpty(t, limit.beyond)
+	must.MapEmpty(t, limit.excess)
 }
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -11,26 +11,26 @@
 	"sliphead/internal/traffic"
 )
 
-// requestListener is a listener for requests with its connections bounded.
+// requestListener accepts connections for requests, up to a limit.
 type requestListener struct {
-	side, address string
-	handler       http.Handler
-	safe          func(*http.Request) bool // which requests may run while others of their connection do; nil: none
-	behind        http.HandlerFunc         // refuses what comes on a connection that is about to close; nil: it is not read
-	security      *tls.Config              // nil: plain
-	limits        traffic.Limits
-	connections   int // at most
-	options       Options
+	side, address  string
+	handler        http.Handler
+	safe           func(*http.Request) bool // which requests may run concurrently with others of their connection; nil: none
+	rejectClosing  http.HandlerFunc         // rejects requests on a connection that is about to close; nil: they are not read
+	security       *tls.Config              // nil: plain
+	limits         traffic.Limits
+	maxConnections int // maximum open connections
+	options        Options
 }
 
 // serve runs the listener until ctx ends.
 func (l requestListener) serve(ctx context.Context) error {
-	limit := newConnectionLimit(l.connections)
+	limit := newConnectionLimit(l.maxConnections)
 	limit.register(l.options.Registry, l.side)
 	server := traffic.NewServer(limit.guard(l.handler), l.limits)
 	server.Safe = l.safe
-	if l.behind != nil {
-		server.Behind = l.behind
+	if l.rejectClosing != nil {
+		server.Behind = l.rejectClosing
 	}
 	server.Logger = l.options.Logger
 	return serveUntil(ctx, l.address, server, func(plain net.Listener) net.Listener {
@@ -42,14 +42,14 @@
 	})
 }
 
-// server is what the servers of net/http and of package httpserver have in common.
+// server is the common part of http.Server and httpserver.Server.
 type server interface {
 	Serve(net.Listener) error
 	Close() error
 }
 
-// serveUntil runs one listener, wrapped unless wrap is nil, until ctx ends. What
-// is still open then is cut: a planned stop has waited for it before.
+// serveUntil serves on one listener, wrapped unless wrap is nil, until ctx ends. Connections
+// that are still open then are closed: a planned stop has already waited for their requests.
 func serveUntil(ctx context.Context, address string, server server, wrap func(net.Listener) net.Listener) error {
 	listener, err := liveness.Listen(ctx, address)
 	if err != nil {
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -15,7 +15,7 @@
 	"sliphead/internal/wire"
 )
 
-// collected returns the values of a collection by name and labels.
+// collected returns the values of a collection, keyed by name and label values.
 func collected(t *testing.T, collector prometheus.Collector) map[string]float64 {
 	t.Helper()
 	registry := prometheus.NewPedanticRegistry()
@@ -35,13 +35,13 @@
 	return values
 }
 
-func TestMetricsOfControl(t *testing.T) {
+func TestControlMetrics(t *testing.T) {
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	status := control.Status{Name: "a", Version: version.Version{Epoch: 2, Revision: 7}, Members: []wire.Member{
 		{Status: wire.StatusAlive}, {Status: wire.StatusAlive}, {Status: wire.StatusSuspect},
 	}}
 	status.Distribution.Reader = true
-	state := controlState{
+	state := controlCollector{
 		counters: func() transport.Counters { return transport.Counters{StreamBytesSent: 5, StreamsBusy: 1, StreamsIn: 4} },
 		status:   func(context.Context) control.Status { return status },
 		dropped:  func() uint64 { return 3 },
@@ -60,7 +60,7 @@
 		must.True(t, known, must.Sprint(name))
 		must.Eq(t, value, found, must.Sprint(name))
 	}
-	status = control.Status{} // the loop does not answer
+	status = control.Status{} // the loop does not reply
 	state.lastRead = func() time.Time { return time.Time{} }
 	values = collected(t, state)
 	must.MapNotContainsKeys(t, values, []string{"version_revision", "source_read_age_seconds"})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node assembles one sliphead process from its parts: the peer
-// transport, the control loop, the readers of the platform, the claim keeper,
-// the request listeners and the admin listener. It decides nothing itself.
+// Package node assembles one sliphead process from its parts: the peer transport, the control
+// loop, the readers of the platform, the claim keeper, the request listeners and the admin
+// listener. It only connects these parts and makes no decisions of its own.
 package node
 
 import (
@@ -22,14 +22,14 @@
 	"sliphead/internal/wire"
 )
 
-// controlTick is how often the control loop looks at its timers.
+// controlTick is the interval at which the control loop checks its timers.
 const controlTick = 50 * time.Millisecond
 
-// Options are what the program chooses beside the settings.
+// Options are what the program sets besides the settings.
 type Options struct {
 	Logger   log.Interface
-	Registry *prometheus.Registry // nil for one of the node's own
-	// DroppedLines counts the lines that the log left out; nil: not known.
+	Registry *prometheus.Registry // nil: the node creates one
+	// DroppedLines returns the number of log lines that were dropped; nil: not available.
 	DroppedLines func() uint64
 }
 
@@ -42,7 +42,7 @@
 	transport *transport.Transport
 	loop      *control.Loop
 	keeper    *claim.Keeper
-	source    *sourceDuty
+	source    *dutyReader
 	requests  *requests
 	stopping  chan struct{}
 	stopOnce  sync.Once
@@ -67,14 +67,14 @@
 	}
 	n.keeper = claim.NewKeeper(n.claimConfig())
 	n.loop = control.New(n.controlConfig())
-	n.source = newSourceDuty(configured, n.loop, options.Logger)
-	options.Registry.MustRegister(n.controlState())
+	n.source = newDutyReader(configured, n.loop, options.Logger)
+	options.Registry.MustRegister(n.controlCollector())
 	n.requests, err = newRequests(n)
 	return n, err
 }
 
-// selfMember is the register that this node writes about itself. Its start
-// stamp tells it from a former process of the same name.
+// selfMember returns this node's own member record. Its start time distinguishes it from an
+// earlier process of the same name.
 func selfMember(configured *settings.Settings, start time.Time) wire.Member {
 	member := wire.Member{
 		Name:    configured.Name,
@@ -116,5 +116,5 @@
 	return group.Wait()
 }
 
-// newRandom returns a source of randomness that differs between processes.
+// newRandom returns a random number generator with a seed that differs between processes.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -33,10 +33,10 @@
 	"selectors":[{"name":"all","service":"storefront"}],
 	"routes":[{"name":"catalogue","pathPrefix":"/","service":"storefront","selectors":["all"],"priority":"interactive","repeatable":true,"deadlineMs":20000}]}}`
 
-// platform stands in for the configuration service, whose machine list fails.
+// platform simulates the configuration service, and a machine list whose reads fail.
 type platform struct {
 	*httptest.Server
-	lists atomic.Int64 // how often the machine list was asked for
+	machineRequests atomic.Int64 // requests for the machine list
 }
 
 func newPlatform() *platform {
@@ -44,7 +44,7 @@
 	p.Server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		switch {
 		case request.URL.Path == "/v1/machines":
-			p.lists.Add(1)
+			p.machineRequests.Add(1)
 			writer.WriteHeader(http.StatusInternalServerError)
 		case request.Header.Get("If-None-Match") == `"1"`:
 			writer.WriteHeader(http.StatusNotModified)
@@ -69,7 +69,7 @@
 	return e.text.Write(line)
 }
 
-// String returns the log until now.
+// String returns the log so far.
 func (e *events) String() string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -85,7 +85,7 @@
 	ended  chan error
 }
 
-// freeAddress returns an address of this IP that was free a moment ago.
+// freeAddress returns an address of this IP whose port was just free.
 func freeAddress(t *testing.T, ip string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", ip+":0")
@@ -94,7 +94,7 @@
 	return listener.Addr().String()
 }
 
-// startNode runs a node, beside a worker unless its address is "".
+// startNode runs a node, with a worker unless its address is "".
 func startNode(t *testing.T, ip, platform, worker string, seeds ...string) *running {
 	t.Helper()
 	text := fmt.Sprintf(`{name: "node-%s", zone: vyttila, region: kochi, security: {plain: true},
@@ -128,8 +128,8 @@
 	return r
 }
 
-// ask sends one request and returns the answer with its text.
-func ask(address, path string) (*http.Response, string, error) {
+// fetch sends one request and returns the response with its body.
+func fetch(address, path string) (*http.Response, string, error) {
 	response, err := http.Get("http://" + address + path)
 	if err != nil {
 		return nil, "", err
@@ -139,9 +139,9 @@
 	return response, string(text), err
 }
 
-// answers reports whether a request is answered with the status.
-func answers(address, path string, status int) bool {
-	response, _, err := ask(address, path)
+// respondsWith reports whether the response to a request has the status.
+func respondsWith(address, path string, status int) bool {
+	response, _, err := fetch(address, path)
 	return err == nil && response.StatusCode == status
 }
 
@@ -150,8 +150,8 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(30*time.Second), wait.Gap(10*time.Millisecond)), must.Sprint(what))
 }
 
-// TestNodesServeAndStop starts an edge and a worker's node, calls the worker
-// through both, and stops the worker's node while a request is in flight.
+// Starts an edge and a worker's node, calls the worker through both, and stops the worker's
+// node while a request is in flight: the request must finish and the node leave only then.
 func TestNodesServeAndStop(t *testing.T) {
 	current := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, current) })
@@ -169,19 +169,19 @@
 	}))
 	t.Cleanup(worker.Close)
 	t.Cleanup(release)
-	beside := startNode(t, "127.9.1.1", source.URL, worker.Listener.Addr().String())
-	edge := startNode(t, "127.9.1.2", source.URL, "", beside.settings.Listen.Peer)
+	workerNode := startNode(t, "127.9.1.1", source.URL, worker.Listener.Addr().String())
+	edge := startNode(t, "127.9.1.2", source.URL, "", workerNode.settings.Listen.Peer)
 	caller := edge.settings.Listen.Outbound
-	for _, n := range []*running{beside, edge} {
-		eventually(t, "ready", func() bool { return answers(n.settings.Listen.Admin, "/ready", http.StatusOK) })
+	for _, n := range []*running{workerNode, edge} {
+		eventually(t, "ready", func() bool { return respondsWith(n.settings.Listen.Admin, "/ready", http.StatusOK) })
 	}
-	eventually(t, "the worker selected", func() bool { return answers(caller, "/catalogue", http.StatusOK) })
-	response, text, err := ask(caller, "/catalogue")
+	eventually(t, "the worker selected", func() bool { return respondsWith(caller, "/catalogue", http.StatusOK) })
+	response, text, err := fetch(caller, "/catalogue")
 	must.NoError(t, err)
 	must.Eq(t, "from the worker", text)
 	must.Eq(t, string(outcome.Answered), response.Header.Get(outcome.Header))
-	checkOperatorsView(t, beside, edge)
-	eventually(t, "the list asked for again", func() bool { return source.lists.Load() >= 5 })
+	checkAdminResponses(t, workerNode, edge)
+	eventually(t, "the machine list requested again", func() bool { return source.machineRequests.Load() >= 5 })
 
 	type reply struct {
 		text string
@@ -189,39 +189,39 @@
 	}
 	replied := make(chan reply, 1)
 	go func() {
-		_, text, err := ask(caller, "/upload")
+		_, text, err := fetch(caller, "/upload")
 		replied <- reply{text, err}
 	}()
 	<-begun
-	beside.Stop()
-	eventually(t, "draining", func() bool { return answers(caller, "/catalogue", http.StatusServiceUnavailable) })
-	must.Eq(t, 1, beside.InFlight())
+	workerNode.Stop()
+	eventually(t, "draining", func() bool { return respondsWith(caller, "/catalogue", http.StatusServiceUnavailable) })
+	must.Eq(t, 1, workerNode.InFlight())
 	for _, member := range edge.Status(t.Context()).Members {
-		must.NotEq(t, wire.StatusLeaving, member.Status, must.Sprint("it leaves before the request has ended"))
+		must.NotEq(t, wire.StatusLeaving, member.Status, must.Sprint("the node leaves before its request has ended"))
 	}
 	release()
 	must.Eq(t, reply{text: "from the worker"}, <-replied)
-	must.NoError(t, <-beside.ended)
-	must.Eq(t, 1, beside.events.count("node.drained"))
+	must.NoError(t, <-workerNode.ended)
+	must.Eq(t, 1, workerNode.events.count("node.drained"))
 	edge.Stop()
 	must.NoError(t, <-edge.ended)
 
-	must.Eq(t, 1, beside.events.count("machines.failed"))
+	must.Eq(t, 1, workerNode.events.count("machines.failed"))
 	must.Eq(t, 1, edge.events.count("machines.failed"))
 }
 
-// checkOperatorsView looks at what two ready nodes tell of themselves.
-func checkOperatorsView(t *testing.T, beside, edge *running) {
+// checkAdminResponses checks the status and metrics of two ready nodes.
+func checkAdminResponses(t *testing.T, workerNode, edge *running) {
 	t.Helper()
-	others := beside.transportConfig().Others()
+	others := workerNode.transportConfig().Others()
 	must.Len(t, 1, others)
 	must.Eq(t, edge.self.Name, others[0].Name)
-	_, metrics, err := ask(edge.settings.Listen.Admin, "/metrics")
+	_, metrics, err := fetch(edge.settings.Listen.Admin, "/metrics")
 	must.NoError(t, err)
 	for _, line := range []string{"sliphead_version_revision 1\n", "sliphead_ready 1\n", `sliphead_members{status="alive"} 2` + "\n"} {
 		must.StrContains(t, metrics, line)
 	}
-	_, text, err := ask(edge.settings.Listen.Admin, "/status")
+	_, text, err := fetch(edge.settings.Listen.Admin, "/status")
 	must.NoError(t, err)
 	var status Status
 	must.NoError(t, json.Unmarshal([]byte(text), &status))
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -18,14 +18,14 @@
 	"sliphead/internal/worker"
 )
 
-// requests holds the listeners that serve requests and operators.
+// requests holds the listeners for requests and for operators.
 type requests struct {
 	node     *Node
 	inbound  *traffic.Inbound // nil at an edge
 	outbound *traffic.Outbound
 	watcher  *worker.Watcher // nil at an edge
 	states   chan wire.EndpointState
-	security *tls.Config // towards callers, nil for plain HTTP
+	security *tls.Config // for callers' connections, nil for plain HTTP
 }
 
 func newRequests(n *Node) (*requests, error) {
@@ -48,7 +48,7 @@
 	return r, nil
 }
 
-// trafficConfig wires the request path to the published views and the keeper.
+// trafficConfig connects the request path to the published views and the claim keeper.
 func (n *Node) trafficConfig() traffic.Config {
 	config := traffic.Config{
 		Node:       n.self.Name,
@@ -78,28 +78,28 @@
 
 // newWatcher returns the watcher of the local worker.
 func (r *requests) newWatcher() *worker.Watcher {
-	beside := r.node.settings.Worker
+	configured := r.node.settings.Worker
 	return worker.NewWatcher(worker.Config{
-		Name:       beside.Name,
-		URL:        "http://" + beside.Address + beside.HealthPath,
-		Thresholds: worker.Thresholds{Interval: beside.HealthInterval.Duration},
+		Name:       configured.Name,
+		URL:        "http://" + configured.Address + configured.HealthPath,
+		Thresholds: worker.Thresholds{Interval: configured.HealthInterval.Duration},
 		OnState:    r.reportState,
 		Logger:     r.node.options.Logger,
 	})
 }
 
-// reportState leaves the worker's newest state for passStates. It does not wait:
-// a request may have brought the state about.
+// reportState stores the worker's newest state for forwardStates, in place of an older one
+// that was not yet forwarded. It does not block, since a request may have caused the change.
 func (r *requests) reportState(state wire.EndpointState) {
 	select {
 	case <-r.states:
 	default:
 	}
-	r.states <- state // the watcher calls one at a time, so there is room now
+	r.states <- state // does not block: the watcher makes one call at a time
 }
 
-// passStates tells the control loop of the worker's states until ctx ends.
-func (r *requests) passStates(ctx context.Context) {
+// forwardStates passes the worker's states to the control loop until ctx ends.
+func (r *requests) forwardStates(ctx context.Context) {
 	for {
 		select {
 		case state := <-r.states:
@@ -110,8 +110,8 @@
 	}
 }
 
-// observe tells the watcher what a request met at the local worker: that
-// outweighs what health probes say.
+// observe reports the result of a request at the local worker to the watcher, which weighs it
+// above health probes.
 func (r *requests) observe(succeeded bool) {
 	observation := worker.TrafficFailed
 	if succeeded {
@@ -120,7 +120,7 @@
 	r.watcher.Observe(observation)
 }
 
-// dialFrom dials from the address that the node itself listens on, as a machine
+// dialFrom returns a dialer that connects from the node's own listen address, which a machine
 // with several addresses needs.
 func dialFrom(listen string) traffic.DialFunc {
 	var local net.IP
@@ -130,24 +130,24 @@
 	return liveness.Dialer(local, dialTimeout).DialContext
 }
 
-// dialTimeout bounds opening a connection for a request.
+// dialTimeout limits opening a connection for a request.
 const dialTimeout = 2 * time.Second
 
 // start serves until ctx ends.
 func (r *requests) start(ctx context.Context, group *errgroup.Group) {
 	listen := r.node.settings.Listen
-	callers := r.listener("outbound", listen.Outbound, r.outbound)
-	callers.safe, callers.security = r.outbound.MayRunAhead, r.security
-	group.Go(func() error { return callers.serve(ctx) })
-	operators := &http.Server{Handler: r.adminHandler(), ReadHeaderTimeout: r.node.settings.Limits.HeaderTimeout.Duration}
-	group.Go(func() error { return serveUntil(ctx, listen.Admin, operators, nil) })
+	outboundListener := r.listener("outbound", listen.Outbound, r.outbound)
+	outboundListener.safe, outboundListener.security = r.outbound.MayRunAhead, r.security
+	group.Go(func() error { return outboundListener.serve(ctx) })
+	adminServer := &http.Server{Handler: r.adminHandler(), ReadHeaderTimeout: r.node.settings.Limits.HeaderTimeout.Duration}
+	group.Go(func() error { return serveUntil(ctx, listen.Admin, adminServer, nil) })
 	if r.inbound == nil {
 		return
 	}
-	nodes := r.listener("inbound", listen.Inbound, r.inbound)
-	group.Go(func() error { return nodes.serve(ctx) })
+	inboundListener := r.listener("inbound", listen.Inbound, r.inbound)
+	group.Go(func() error { return inboundListener.serve(ctx) })
 	group.Go(func() error {
-		r.passStates(ctx)
+		r.forwardStates(ctx)
 		return nil
 	})
 	group.Go(func() error {
@@ -159,11 +159,11 @@
 func (r *requests) listener(side, address string, handler http.Handler) requestListener {
 	return requestListener{
 		side: side, address: address, handler: handler,
-		limits: r.node.trafficConfig().Limits, connections: r.node.settings.Limits.MaxConnections, options: r.node.options,
+		limits: r.node.trafficConfig().Limits, maxConnections: r.node.settings.Limits.MaxConnections, options: r.node.options,
 	}
 }
 
-// adminHandler serves operators.
+// adminHandler returns the handler of the admin listener.
 func (r *requests) adminHandler() http.Handler {
 	n := r.node
 	return admin.Handler(admin.Config{
@@ -175,7 +175,7 @@
 	})
 }
 
-// ready tells whether the node serves, and why not.
+// ready reports whether the node can serve, with the reason when it can't.
 func (n *Node) ready() (bool, string) {
 	select {
 	case <-n.stopping:
@@ -192,7 +192,7 @@
 	return true, ""
 }
 
-// logFinished tells what a planned stop came to.
+// logFinished logs the end of a planned stop with the number of requests that were cut.
 func (r *requests) logFinished(began time.Time, cut int) {
 	logging.Event(r.node.options.Logger, "node.drained", logging.Fields{
 		"took_ms": time.Since(began).Milliseconds(),
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -16,121 +16,122 @@
 	"sliphead/internal/source"
 )
 
-// sourceDuty reads the platform: the configuration while this node has reader
-// duty, the machine list while it has the duty or knows no other node.
-type sourceDuty struct {
-	reader   *source.Reader
-	machines *source.Machines
-	interval time.Duration
-	loop     *control.Loop
-	logger   log.Interface
-	duty     chan bool
+// dutyReader reads from the platform: the configuration while this node has reader duty, the
+// machine list while it has the duty or has discovered no other node.
+type dutyReader struct {
+	reader      *source.Reader
+	machines    *source.Machines
+	interval    time.Duration
+	loop        *control.Loop
+	logger      log.Interface
+	dutyChanges chan bool // changes of reader duty
 }
 
-// readSpacing is the least time between two questions to the source. With long
-// polls there is one question for each change, so that it only bounds bursts.
-const readSpacing = 100 * time.Millisecond
+// minReadInterval is the minimum time between two requests to the source. Long polls make one
+// request for each change, so it only limits bursts.
+const minReadInterval = 100 * time.Millisecond
 
-// aloneInterval is the middle of the wait between two reads of the machine list
-// by a node that knows no other.
-const aloneInterval = time.Second
+// isolatedInterval is the mean interval between reads of the machine list by a node that has
+// discovered no other.
+const isolatedInterval = time.Second
 
-// dutyQueue holds changes of duty that the reader has not seen yet.
-const dutyQueue = 16
+// dutyQueueLength is the capacity of the queue of duty changes that the reader has not yet
+// processed.
+const dutyQueueLength = 16
 
-func newSourceDuty(configured *settings.Settings, loop *control.Loop, logger log.Interface) *sourceDuty {
-	duty := &sourceDuty{
-		interval: configured.Source.MachinesInterval.Duration,
-		loop:     loop,
-		logger:   logger,
-		duty:     make(chan bool, dutyQueue),
+func newDutyReader(configured *settings.Settings, loop *control.Loop, logger log.Interface) *dutyReader {
+	d := &dutyReader{
+		interval:    configured.Source.MachinesInterval.Duration,
+		loop:        loop,
+		logger:      logger,
+		dutyChanges: make(chan bool, dutyQueueLength),
 	}
-	duty.reader = &source.Reader{
+	d.reader = &source.Reader{
 		Configuration: &source.Configuration{
 			Base:    configured.Source.Configuration,
 			Node:    configured.Name,
 			Timeout: configured.Source.Timeout.Duration,
 		},
 		Parse:    declaration.Parse,
-		Interval: readSpacing,
+		Interval: minReadInterval,
 		LongPoll: configured.Source.LongPoll.Duration,
 		Logger:   logger,
 		Random:   newRandom(),
 	}
 	if configured.Source.Machines != "" {
-		duty.machines = &source.Machines{
+		d.machines = &source.Machines{
 			Base:    configured.Source.Machines,
 			Node:    configured.Name,
 			Timeout: configured.Source.Timeout.Duration,
 		}
 	}
-	return duty
+	return d
 }
 
-// setDuty tells the reader of a change. Only the control loop calls it.
-func (d *sourceDuty) setDuty(reader bool) {
+// setDuty reports a change of reader duty to the reader. Only the control loop calls it.
+func (d *dutyReader) setDuty(reader bool) {
 	for {
 		select {
-		case d.duty <- reader:
+		case d.dutyChanges <- reader:
 			return
 		default:
 		}
-		select { // the queue is full of changes overtaken by this one
-		case <-d.duty:
+		select { // the queue is full: discard the oldest change, which this one supersedes
+		case <-d.dutyChanges:
 		default:
 		}
 	}
 }
 
-// run reads until ctx ends.
-func (d *sourceDuty) run(ctx context.Context) error {
-	d.reader.Emit = func(result source.Result) { d.take(ctx, result) }
+// run reads the configuration and the machine list until ctx ends.
+func (d *dutyReader) run(ctx context.Context) error {
+	d.reader.Emit = func(result source.Result) { d.handleResult(ctx, result) }
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
-		d.reader.Run(ctx, d.duty)
+		d.reader.Run(ctx, d.dutyChanges)
 		return nil
 	})
 	if d.machines != nil {
 		group.Go(func() error {
-			d.watchMachines(ctx)
+			d.pollMachines(ctx)
 			return nil
 		})
 	}
 	return group.Wait()
 }
 
-// take turns what was read into a set and hands it to the control loop.
-func (d *sourceDuty) take(ctx context.Context, result source.Result) {
+// handleResult builds a set of resources from what was read and passes it to the control loop.
+func (d *dutyReader) handleResult(ctx context.Context, result source.Result) {
 	if result.Err != nil {
 		d.loop.SourceFailed(ctx, result.Err)
 		return
 	}
 	set, err := snapshot.Build(result.Document, result.Revision, result.Secrets)
 	if err != nil {
-		d.loop.SourceFailed(ctx, fault.Wrap(err, fault.Source, "mend the declarations at the source", "revision %d is unusable", result.Revision))
+		d.loop.SourceFailed(ctx, fault.Wrap(err, fault.Source, "correct the declarations at the source", "revision %d is not usable", result.Revision))
 		return
 	}
 	d.loop.SourceRead(ctx, set)
 }
 
-// watchMachines reads the machine list at jittered intervals, but only while
-// somebody has to: readers by duty, and a node that knows no other. A failure
-// costs nothing: the list only proposes, and the failure detector knows better.
-func (d *sourceDuty) watchMachines(ctx context.Context) {
+// pollMachines reads the machine list at jittered intervals while this node has reader duty or
+// has discovered no other node. A failed read needs no handling: the list only proposes
+// members, and the failure detector has the final say.
+func (d *dutyReader) pollMachines(ctx context.Context) {
 	due := func() (bool, time.Duration) {
 		status := d.loop.Status(ctx)
 		if len(status.Members) <= 1 {
-			return true, aloneInterval
+			return true, isolatedInterval
 		}
 		return status.Distribution.Reader, d.interval
 	}
 	d.machines.Poll(ctx, due, newRandom(), d.logger, func(listed []source.Machine) {
-		d.loop.MachinesRead(ctx, proposals(listed))
+		d.loop.MachinesRead(ctx, listedMachines(listed))
 	})
 }
 
-// proposals translates the list for membership.
-func proposals(listed []source.Machine) []membership.ListedMachine {
+// listedMachines converts the machine list to the types of membership.
+func listedMachines(listed []source.Machine) []membership.ListedMachine {
 	machines := make([]membership.ListedMachine, 0, len(listed))
 	for _, machine := range listed {
 		machines = append(machines, membership.ListedMachine{
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -7,7 +7,7 @@
 	"sliphead/internal/transport"
 )
 
-// Status is what a node tells operators.
+// Status is the state of a node that its admin listener reports to operators.
 type Status struct {
 	control.Status
 	Ready                bool               `json:"ready"`
@@ -19,10 +19,11 @@
 	Transport            transport.Counters `json:"transport"`
 }
 
-// Counters returns the transport's running totals.
+// Counters returns the transport's counters since the start of the process.
 func (n *Node) Counters() transport.Counters { return n.transport.Counters() }
 
-// Status gathers the state of all parts.
+// Status collects the state of all parts. The control loop's part is empty when the loop does
+// not reply before ctx ends.
 func (n *Node) Status(ctx context.Context) Status {
 	ready, reason := n.ready()
 	counters := n.transport.Counters()
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -7,12 +7,12 @@
 	"sliphead/internal/logging"
 )
 
-// leaveSpread is how long a leaving node goes on gossiping, so that its peers
-// learn of it before it is gone.
-const leaveSpread = time.Second
+// leaveGossipTime is how long a leaving node keeps gossiping, so that its peers learn that it
+// leaves before its process exits.
+const leaveGossipTime = time.Second
 
-// Stop begins a planned stop and returns at once: no new work, everything in
-// flight finishes, then Run returns.
+// Stop begins a planned stop and returns at once. The node takes no new requests, those in
+// flight finish, then Run returns.
 func (n *Node) Stop() {
 	n.stopOnce.Do(func() { close(n.stopping) })
 }
@@ -27,19 +27,19 @@
 	n.requests.drain(bounded)
 	n.loop.Leave(ctx)
 	select {
-	case <-time.After(leaveSpread):
+	case <-time.After(leaveGossipTime):
 	case <-ctx.Done():
 	}
 	n.requests.logFinished(began, n.requests.inFlight())
 }
 
-// InFlight counts the requests that run now.
+// InFlight returns the number of requests in flight.
 func (n *Node) InFlight() int { return n.requests.inFlight() }
 
-// drain refuses new requests and waits until those in flight have ended or ctx
-// ends. The inbound side goes first: until its last request has ended, the
-// worker may need the outbound side for calls of its own. The waits' only error
-// is the bound, and logFinished counts what it cut.
+// drain rejects new requests and waits until those in flight have ended or ctx ends. The
+// inbound side is drained first: until its last request has ended, the worker may need the
+// outbound side for calls of its own. The only error of the waits is the timeout, and
+// logFinished logs the number of requests that it cut.
 func (r *requests) drain(ctx context.Context) {
 	if r.inbound != nil {
 		r.inbound.Drain()
@@ -51,7 +51,7 @@
 	}
 }
 
-// inFlight counts the requests that run now.
+// inFlight returns the number of requests in flight.
 func (r *requests) inFlight() int {
 	count := 0
 	if r.inbound != nil {
--- a/internal/node/stop_plan.go
+++ b/internal/node/stop_plan.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// stopPhase is how far a planned stop of a catalog node has come.
+// stopPhase is the progress of a planned stop of a catalog node.
 type stopPhase int
 
-// The phases, in order. The worker beside the node runs on while the node restarts,
-// and its slots serve nobody from stopHandover until the new process is up: all that
-// can be waited for is waited for in stopServing.
+// The phases, in order. The local worker keeps running while the node restarts, but its slots
+// are idle from stopHandover until the new process is up. So stopServing does all the waiting
+// that is possible before that.
 const (
-	stopServing  stopPhase = iota // not ready, but all is served: callers don't know yet
-	stopHandover                  // the local worker is given nothing new, callers are served by others
-	stopRefusing                  // callers are refused as well, what runs ends
-	stopEnded                     // the process may end
+	stopServing  stopPhase = iota // reported as not ready but serving all requests, since callers have not noticed yet
+	stopHandover                  // no new requests to the local worker, callers' requests go to other workers
+	stopRefusing                  // callers are rejected too, requests in flight finish
+	stopEnded                     // the process may exit
 )
 
 // String is the phase's name in the log.
@@ -20,81 +20,85 @@
 	return [...]string{"serving", "handover", "refusing", "ended"}[p]
 }
 
-// The times of a planned stop, as parts of the time allowed.
+// The times of a planned stop, as fractions of the time allowed for it.
 const (
-	workerPhase = 0.3  // the longest stopServing
-	callerPhase = 0.5  // callers that can't be seen to have turned away are served for so long
-	strictPhase = 0.45 // from then on, only requests are taken that end before the process does
-	callersWait = 0.1  // for callers that come on although they were told, beside the last run
-	lastPhase   = 0.9  // then the process ends whatever still runs
+	maxServing      = 0.3  // maximum length of stopServing
+	callerGrace     = 0.5  // how long callers are served when the platform was not seen to notice the stop
+	strictAdmission = 0.45 // after it, only requests that finish before the process exits are admitted
+	maxCallerWait   = 0.1  // maximum wait after the handover, alongside the last request at the worker, for callers that keep coming
+	forcedEnd       = 0.9  // after it the process exits even if requests are in flight
 )
 
 const (
-	// readinessPeriod is how often the platform asks whether a node is ready.
+	// readinessPeriod is the interval of the platform's readiness requests.
 	readinessPeriod = time.Second
-	// readinessDenials is after how many answers in a row that it is not the platform
-	// sends the node no new callers.
-	readinessDenials = 2
-	// quietFor is how long no caller's request may have run before callers count as gone.
-	quietFor = 300 * time.Millisecond
+	// notReadyThreshold is the number of consecutive not-ready replies after which the
+	// platform sends the node no new callers.
+	notReadyThreshold = 2
+	// callerIdleTime is how long no request of a caller may have been in flight before callers
+	// count as diverted.
+	callerIdleTime = 300 * time.Millisecond
 )
 
-// stopPlan decides how a planned stop goes on.
+// stopPlan decides when a planned stop enters its next phase.
 type stopPlan struct {
 	allowed time.Duration // for the whole stop
 	began   time.Time
 
-	phase      stopPhase
-	handover   time.Time // when stopHandover began
-	quietSince time.Time // since when no caller's request has run
+	phase            stopPhase
+	handover         time.Time // time when stopHandover began
+	callersIdleSince time.Time // time since which no caller's request has been in flight
 }
 
-// stopView is what the plan goes by.
-type stopView struct {
-	denials int // times that the platform was told that the node is not ready
-	worker  int // requests that run or wait at the local worker
-	callers int // requests of callers and of the local worker that run
+// stopState is the input of the plan.
+type stopState struct {
+	notReadyReplies int // not-ready replies to readiness requests
+	workerRequests  int // requests in flight or queued at the local worker
+	callerRequests  int // requests in flight from callers and from the local worker
 }
 
 func newStopPlan(allowed time.Duration, began time.Time) stopPlan {
-	return stopPlan{allowed: allowed, began: began, quietSince: began}
+	return stopPlan{allowed: allowed, began: began, callersIdleSince: began}
 }
 
-// step returns the phase that the stop has now.
-func (p *stopPlan) step(view stopView, now time.Time) stopPhase {
-	if view.callers > 0 {
-		p.quietSince = now
+// step returns the phase of the stop at the time now.
+func (p *stopPlan) step(state stopState, now time.Time) stopPhase {
+	if state.callerRequests > 0 {
+		p.callersIdleSince = now
 	}
-	if p.phase == stopServing && (p.callersTold(view, now) || p.past(workerPhase, now)) {
+	if p.phase == stopServing && (p.platformNotified(state, now) || p.pastFraction(maxServing, now)) {
 		p.phase, p.handover = stopHandover, now
 	}
-	if p.phase == stopHandover && view.worker == 0 && p.callersLeft(view, now) {
+	if p.phase == stopHandover && state.workerRequests == 0 && p.callersDiverted(state, now) {
 		p.phase = stopRefusing
 	}
-	if p.phase == stopRefusing && view.callers == 0 || p.past(lastPhase, now) {
+	if p.phase == stopRefusing && state.callerRequests == 0 || p.pastFraction(forcedEnd, now) {
 		p.phase = stopEnded
 	}
 	return p.phase
 }
 
-// callersTold reports whether the platform has seen often enough that the node is not
-// ready. Others may ask as well, so the denials count only after the time that the
-// platform's own take.
-func (p *stopPlan) callersTold(view stopView, now time.Time) bool {
-	return view.denials >= readinessDenials && now.Sub(p.began) >= readinessPeriod*(readinessDenials-1)
+// platformNotified reports whether the platform has received enough not-ready replies. Others
+// than the platform may send readiness requests as well, so the replies count only after the
+// time that the platform's own requests take.
+func (p *stopPlan) platformNotified(state stopState, now time.Time) bool {
+	return state.notReadyReplies >= notReadyThreshold && now.Sub(p.began) >= readinessPeriod*(notReadyThreshold-1)
 }
 
-// callersLeft reports whether no more callers come, or are not to be waited for: where
-// too few nodes of a zone are ready, the platform sends callers to those that are not.
-func (p *stopPlan) callersLeft(view stopView, now time.Time) bool {
-	if !p.callersTold(view, now) && !p.past(callerPhase, now) {
+// callersDiverted reports whether callers have stopped coming, or need not be waited for any
+// longer: where too few nodes of a zone are ready, the platform sends callers also to nodes
+// that are not ready.
+func (p *stopPlan) callersDiverted(state stopState, now time.Time) bool {
+	if !p.platformNotified(state, now) && !p.pastFraction(callerGrace, now) {
 		return false
 	}
-	return now.Sub(p.quietSince) > quietFor || now.Sub(p.handover) > p.part(callersWait)
+	return now.Sub(p.callersIdleSince) > callerIdleTime || now.Sub(p.handover) > p.fraction(maxCallerWait)
 }
 
-func (p *stopPlan) past(part float64, now time.Time) bool { return now.Sub(p.began) > p.part(part) }
+func (p *stopPlan) pastFraction(share float64, now time.Time) bool {
+	return now.Sub(p.began) > p.fraction(share)
+}
 
-func (p *stopPlan) part(part float64) time.Duration {
-	return time.Duration(part * float64(p.allowed))
+func (p *stopPlan) fraction(share float64) time.Duration {
+	return time.Duration(share * float64(p.allowed))
 }
--- a/internal/node/stop_plan_test.go
+++ b/internal/node/stop_plan_test.go
@@ -7,14 +7,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// stopRun plays a stop of 10 s in steps of 50 ms and returns when each phase began.
-func stopRun(view func(passed time.Duration, phase stopPhase) stopView) map[stopPhase]time.Duration {
+// simulateStop runs a stop of 10 s in steps of 50 ms and returns when each phase began.
+func simulateStop(stateAt func(passed time.Duration, phase stopPhase) stopState) map[stopPhase]time.Duration {
 	began := time.Unix(0, 0)
 	plan := newStopPlan(10*time.Second, began)
 	entered := map[stopPhase]time.Duration{}
 	phase := stopServing
 	for passed := time.Duration(0); phase != stopEnded; passed += stopPoll {
-		phase = plan.step(view(passed, phase), began.Add(passed))
+		phase = plan.step(stateAt(passed, phase), began.Add(passed))
 		if _, known := entered[phase]; !known {
 			entered[phase] = passed
 		}
@@ -22,62 +22,66 @@
 	return entered
 }
 
-// denialsBy is what the platform has been told that asks once a second.
-func denialsBy(passed time.Duration) int { return int((passed + 600*time.Millisecond) / time.Second) }
+// notReadyRepliesAt is the number of not-ready replies to a platform that asks once a second.
+func notReadyRepliesAt(passed time.Duration) int {
+	return int((passed + 600*time.Millisecond) / time.Second)
+}
 
-// The slots of a stopping node's worker serve nobody from the handover to the end:
-// callers turn away before that, and nothing is waited for twice.
-func TestStopKeepsTheWorkersSlotsInUse(t *testing.T) {
-	entered := stopRun(func(passed time.Duration, phase stopPhase) stopView {
-		view := stopView{denials: denialsBy(passed), worker: 3, callers: 2}
-		if view.denials >= readinessDenials {
-			view.callers = 0
+// The slots of the worker are idle from the handover until the new process is up. So the stop
+// hands over as soon as the platform has noticed it, and ends once the last request at the
+// worker has ended.
+func TestStopHandsOverOnceThePlatformHasNoticed(t *testing.T) {
+	entered := simulateStop(func(passed time.Duration, phase stopPhase) stopState {
+		state := stopState{notReadyReplies: notReadyRepliesAt(passed), workerRequests: 3, callerRequests: 2}
+		if state.notReadyReplies >= notReadyThreshold {
+			state.callerRequests = 0
 		}
 		if phase >= stopHandover && passed > 1700*time.Millisecond {
-			view.worker = 0 // the last run has ended
+			state.workerRequests = 0 // the last request has ended
 		}
-		return view
+		return state
 	})
 	must.Eq(t, 1400*time.Millisecond, entered[stopHandover])
 	must.LessEq(t, 2*time.Second, entered[stopEnded])
 }
 
-// While the platform has not seen twice that the node is not ready, callers come and
-// are served.
-func TestStopServesCallersThatCannotKnow(t *testing.T) {
-	entered := stopRun(func(time.Duration, stopPhase) stopView { return stopView{} })
+// Until the platform has received two not-ready replies, callers keep coming and are served.
+func TestStopServesCallersUntilThePlatformHasNoticed(t *testing.T) {
+	entered := simulateStop(func(time.Duration, stopPhase) stopState { return stopState{} })
 	must.GreaterEq(t, 5*time.Second, entered[stopEnded])
 	must.LessEq(t, 3100*time.Millisecond, entered[stopHandover])
 }
 
-// Questions of others than the platform, in quick succession, don't shorten that.
-func TestStopIsNotHurriedByOthersQuestions(t *testing.T) {
-	entered := stopRun(func(time.Duration, stopPhase) stopView { return stopView{denials: 50} })
+// Many readiness requests in quick succession, which come from others than the platform, don't
+// shorten the stop.
+func TestStopIsNotShortenedByOtherReadinessRequests(t *testing.T) {
+	entered := simulateStop(func(time.Duration, stopPhase) stopState { return stopState{notReadyReplies: 50} })
 	must.GreaterEq(t, readinessPeriod, entered[stopEnded])
 }
 
-// Where too few nodes of a zone are ready, callers come on. They are served by others
-// until the local worker has ended its runs and a while beyond.
-func TestStopDoesNotWaitForCallersThatComeOn(t *testing.T) {
-	entered := stopRun(func(passed time.Duration, phase stopPhase) stopView {
-		view := stopView{denials: denialsBy(passed), worker: 2, callers: 1}
+// Where too few nodes of a zone are ready, the platform keeps sending callers. They are served
+// by other workers until the local worker has finished its requests, and for a bounded time
+// after that.
+func TestStopDoesNotWaitForCallersThatKeepComing(t *testing.T) {
+	entered := simulateStop(func(passed time.Duration, phase stopPhase) stopState {
+		state := stopState{notReadyReplies: notReadyRepliesAt(passed), workerRequests: 2, callerRequests: 1}
 		if phase >= stopHandover {
-			view.worker = 0
+			state.workerRequests = 0
 		}
 		if phase >= stopRefusing {
-			view.callers = 0
+			state.callerRequests = 0
 		}
-		return view
+		return state
 	})
 	must.Eq(t, 1400*time.Millisecond, entered[stopHandover])
 	must.LessEq(t, 2600*time.Millisecond, entered[stopRefusing])
 	must.LessEq(t, 2700*time.Millisecond, entered[stopEnded])
 }
 
-// A run that does not end holds the stop up until its last phase, and no longer.
-func TestStopEndsInTime(t *testing.T) {
-	entered := stopRun(func(passed time.Duration, _ stopPhase) stopView {
-		return stopView{denials: denialsBy(passed), worker: 1, callers: 1}
+// A request that does not finish delays the stop until its last phase and no longer.
+func TestStopEndsWithinTheTimeAllowed(t *testing.T) {
+	entered := simulateStop(func(passed time.Duration, _ stopPhase) stopState {
+		return stopState{notReadyReplies: notReadyRepliesAt(passed), workerRequests: 1, callerRequests: 1}
 	})
 	must.LessEq(t, 9100*time.Millisecond, entered[stopEnded])
 	_, refused := entered[stopRefusing]
