--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// BenchmarkDepth sends requests in groups, each group in one write, and reads
-// their answers. The work of both sides counts.
+// BenchmarkDepth sends pipelined requests in groups, each group in one write, and reads their
+// responses. The time includes the work of the client side.
 func BenchmarkDepth(b *testing.B) {
 	body := strings.Repeat("x", 1500)
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -16,9 +16,9 @@
 	"sliphead/internal/logging"
 )
 
-// connection reads the requests of one connection. Its queue holds those that
-// were read and are not answered yet: some that may run beside one another, or
-// one that may not.
+// connection reads the requests of one connection. Its queue holds the requests that were read
+// and whose responses are not complete: either several that may run concurrently, or one that
+// runs alone.
 type connection struct {
 	server  *Server
 	conn    net.Conn
@@ -26,76 +26,77 @@
 	context context.Context // ends with the connection
 	cancel  context.CancelFunc
 
-	mutex   sync.Mutex
-	changed *sync.Cond
-	queue   []*response
-	waiting int  // bytes of answers that wait for their turn
-	idling  bool // whether the reader waits for bytes between requests
-	blocked bool // whether it does so only until all requests are answered
-	closing bool // whether no further request is to be taken
-	ending  bool // whether further ones are refused, since the connection closes with the last answer
+	mutex         sync.Mutex
+	changed       *sync.Cond
+	queue         []*response
+	pendingBytes  int  // bytes of responses that wait for their turn
+	readerIdle    bool // whether the reader waits for bytes outside of a request
+	readerBlocked bool // whether it waits only until the queue is empty
+	closing       bool // whether no further request is accepted
+	rejecting     bool // whether further requests are rejected, since the connection closes with the last response
 }
 
-// readerSize is the size of a connection's read buffer.
+// readerSize is the size of a connection's read buffer in bytes.
 const readerSize = 4 << 10
 
 func newConnection(server *Server, conn net.Conn) *connection {
 	c := &connection{server: server, conn: conn, reader: bufio.NewReaderSize(conn, readerSize)}
 	c.changed = sync.NewCond(&c.mutex)
-	c.context, c.cancel = contextFor()
+	c.context, c.cancel = newConnectionContext()
 	return c
 }
 
-// serve reads requests until the connection ends, and then waits for the answers.
+// serve reads requests until the connection ends, and then waits for their responses.
 func (c *connection) serve() {
-	defer c.server.forget(c)
+	defer c.server.removeConnection(c)
 	defer c.cancel()
 	deadline := time.Now().Add(c.server.HeaderTimeout)
-	for c.awaitRoom() && c.awaitRequest(deadline) && c.awaitRoom() && c.takeRequest() {
+	for c.awaitCapacity() && c.awaitRequest(deadline) && c.awaitCapacity() && c.readNext() {
 		deadline = time.Now().Add(c.server.IdleTimeout)
 	}
 	c.stopReading()
-	c.watch()
+	c.awaitResponses()
 	c.end()
 }
 
-// awaitRoom returns when another request may be read, false when none is to be.
-func (c *connection) awaitRoom() bool {
+// awaitCapacity waits until another request may be read. It returns false when none is to be
+// read any more.
+func (c *connection) awaitCapacity() bool {
 	for {
 		c.mutex.Lock()
-		for !c.closing && !c.hasRoom() && !c.isBodyUnasked() {
+		for !c.closing && !c.hasCapacity() && !c.isContinuePending() {
 			c.changed.Wait()
 		}
-		closing, room := c.closing, c.hasRoom()
+		closing, capacity := c.closing, c.hasCapacity()
 		c.mutex.Unlock()
 		switch {
-		case closing || room:
+		case closing || capacity:
 			return !closing
-		case !c.watchUnasked():
+		case !c.watchUntilContinue():
 			return false
 		}
 	}
 }
 
-// hasRoom reports whether the bounds allow another request and the reader is not
-// within the body of the one before.
-func (c *connection) hasRoom() bool {
+// hasCapacity reports whether the limits allow another request and the body of the one before
+// has been read.
+func (c *connection) hasCapacity() bool {
 	if len(c.queue) == 0 {
 		return true
 	}
 	last := c.queue[len(c.queue)-1]
-	inBody := last.body != nil && !last.body.done
-	return !inBody && len(c.queue) < c.server.MaxAhead && c.waiting < c.server.MaxWaiting
+	inBody := last.body != nil && !last.body.consumed
+	return !inBody && len(c.queue) < c.server.MaxPipelined && c.pendingBytes < c.server.MaxPendingBytes
 }
 
-// awaitRequest returns when the first byte of a request has come, false when none
-// will. While answers are outstanding there is no bound to the wait. What a caller's
-// leaving ends is left to watch, which follows.
+// awaitRequest returns true when the first byte of a request has arrived, false when none
+// will. The wait has no deadline while responses are outstanding. A disconnect of the caller
+// is handled by awaitResponses, which is called afterwards.
 func (c *connection) awaitRequest(idleUntil time.Time) bool {
 	for {
-		c.startIdling(idleUntil)
+		c.beginIdleRead(idleUntil)
 		_, err := c.reader.Peek(1)
-		outstanding := c.stopIdling()
+		outstanding := c.endIdleRead()
 		switch {
 		case err == nil:
 			_ = c.conn.SetReadDeadline(time.Now().Add(c.server.HeaderTimeout))
@@ -107,31 +108,30 @@
 	}
 }
 
-func (c *connection) startIdling(until time.Time) {
+func (c *connection) beginIdleRead(deadline time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.idling = true
+	c.readerIdle = true
 	if len(c.queue) > 0 {
-		until = time.Time{}
+		deadline = time.Time{}
 	}
-	_ = c.conn.SetReadDeadline(until)
+	_ = c.conn.SetReadDeadline(deadline)
 }
 
-// stopIdling reports whether a wait that has reached its bound is to go on.
-func (c *connection) stopIdling() bool {
+// endIdleRead reports whether to continue waiting after the read deadline has passed.
+func (c *connection) endIdleRead() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.idling = false
+	c.readerIdle = false
 	return len(c.queue) > 0 && !c.closing
 }
 
-// takeRequest reads one request and has it run. It reports whether more may be
-// read.
-func (c *connection) takeRequest() bool {
+// readNext reads one request and starts it. It reports whether more requests may be read.
+func (c *connection) readNext() bool {
 	request, err := readRequest(c.reader, c.server.MaxHeaderBytes)
-	var refused *refusal
-	if errors.As(err, &refused) {
-		c.enqueue(c.newResponse(unparsed()), refused.handle)
+	var invalid *requestError
+	if errors.As(err, &invalid) {
+		c.enqueue(c.newResponse(unparsedRequest()), invalid.respond)
 		return false
 	}
 	if err != nil {
@@ -141,45 +141,45 @@
 	answer := c.newResponse(request)
 	answer.body = newRequestBody(answer, c.reader)
 	handler := c.server.Handler
-	answer.ahead = c.server.mayRunAhead(request)
-	if c.refuses(request) {
-		handler, answer.ahead = c.server.Behind, true
+	answer.concurrent = c.server.mayRunConcurrently(request)
+	if c.rejects(request) {
+		handler, answer.concurrent = c.server.RejectClosing, true
 	}
-	if !c.mayJoin(answer) && !c.awaitAlone() {
+	if !c.mayRunNow(answer) && !c.awaitEmptyQueue() {
 		return false
 	}
-	_ = c.conn.SetReadDeadline(time.Time{}) // the handler bounds the reading of a body
+	_ = c.conn.SetReadDeadline(time.Time{}) // the handler sets the deadline for reading a body
 	return c.enqueue(answer, handler.ServeHTTP) && !request.Close
 }
 
-// refuses reports whether a request is refused in its turn. One with a body would first have
-// to be read to its end.
-func (c *connection) refuses(request *http.Request) bool {
+// rejects reports whether a request is rejected by RejectClosing in its turn. A request with a
+// body is not, since the body would have to be read to its end first.
+func (c *connection) rejects(request *http.Request) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.ending && c.server.Behind != nil && request.ContentLength == 0
+	return c.rejecting && c.server.RejectClosing != nil && request.ContentLength == 0
 }
 
-// mayJoin reports whether a request may run beside those that do.
-func (c *connection) mayJoin(answer *response) bool {
+// mayRunNow reports whether a request may run concurrently with those in the queue.
+func (c *connection) mayRunNow(answer *response) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return len(c.queue) == 0 || answer.ahead && c.queue[len(c.queue)-1].ahead
+	return len(c.queue) == 0 || answer.concurrent && c.queue[len(c.queue)-1].concurrent
 }
 
-// awaitAlone returns when all requests before are answered, false when the
-// connection ends before. Meanwhile it watches for the caller's leaving, as long
-// as nothing has come behind the request that waits.
-func (c *connection) awaitAlone() bool {
-	c.setBlocked(true)
-	defer c.setBlocked(false)
-	c.startIdling(time.Time{})
-	if c.outstanding() {
+// awaitEmptyQueue waits until all earlier requests have their responses. It returns false when
+// the connection ends before that. It detects a disconnect of the caller, unless more bytes
+// have arrived after the waiting request.
+func (c *connection) awaitEmptyQueue() bool {
+	c.setReaderBlocked(true)
+	defer c.setReaderBlocked(false)
+	c.beginIdleRead(time.Time{})
+	if c.hasOutstanding() {
 		if _, err := c.reader.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return false
 		}
 	}
-	c.stopIdling()
+	c.endIdleRead()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for len(c.queue) > 0 {
@@ -188,10 +188,10 @@
 	return !c.closing && c.context.Err() == nil
 }
 
-func (c *connection) setBlocked(blocked bool) {
+func (c *connection) setReaderBlocked(blocked bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.blocked = blocked
+	c.readerBlocked = blocked
 }
 
 func (c *connection) newResponse(request *http.Request) *response {
@@ -199,8 +199,8 @@
 	return &response{conn: c, request: request.WithContext(ctx), cancel: cancel, header: http.Header{}, turn: make(chan struct{})}
 }
 
-// enqueue has a request run. It reports false when the connection ends, and the
-// request counts as not read.
+// enqueue starts a request. It returns false when the connection is closing; the request then
+// counts as not read.
 func (c *connection) enqueue(answer *response, handle http.HandlerFunc) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -216,23 +216,23 @@
 	return true
 }
 
-// run handles one request and completes its answer.
+// run handles one request and completes its response.
 func (c *connection) run(answer *response, handle http.HandlerFunc) {
-	whole := false
+	complete := false
 	defer func() {
 		if problem := recover(); problem != nil {
 			c.logPanic(problem)
-			whole = false
+			complete = false
 		}
 		answer.cancel()
-		c.answered(answer, whole)
+		c.finishRequest(answer, complete)
 	}()
 	handle(answer, answer.request)
-	whole = answer.finish()
+	complete = answer.finish()
 }
 
-// logPanic tells of a fault in a handler. http.ErrAbortHandler is none: it cuts
-// an answer that can't be completed.
+// logPanic logs a panic of a handler, except http.ErrAbortHandler, which aborts a response
+// that can't be completed.
 func (c *connection) logPanic(problem any) {
 	if problem == http.ErrAbortHandler {
 		return
@@ -240,33 +240,32 @@
 	c.server.Logger.WithFields(logging.Fields{"remote": c.conn.RemoteAddr().String(), "problem": problem, "stack": string(debug.Stack())}).Error("request.panicked")
 }
 
-// answered takes the request off the queue, and cuts the connection when its
-// answer is not whole: what was sent ahead behind it counts as not read. Answers
-// before it are completed first.
-func (c *connection) answered(answer *response, whole bool) {
-	if answer.await(0) != nil {
-		whole = false
+// finishRequest removes the request from the queue once the responses before it are complete.
+// If its own response is incomplete it aborts the connection: requests pipelined after it
+// count as not read.
+func (c *connection) finishRequest(answer *response, complete bool) {
+	if answer.awaitTurn(0) != nil {
+		complete = false
 	}
 	answer.release()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if answer.body != nil {
-		answer.body.ended = true
-		c.closing = c.closing || !answer.body.done
+		answer.body.requestEnded = true
+		c.closing = c.closing || !answer.body.consumed
 	}
-	if !whole {
+	if !complete {
 		c.closing = true
-		c.cut()
+		c.abort()
 	}
 	c.remove(answer)
-	c.afterAnswer()
+	c.wakeReader()
 }
 
-// remove takes a request off the queue, of which it is the first unless the
-// connection is cut.
+// remove removes a request from the queue. It is the first, unless the connection was aborted.
 func (c *connection) remove(answer *response) {
-	for index, held := range c.queue {
-		if held != answer {
+	for index, queued := range c.queue {
+		if queued != answer {
 			continue
 		}
 		c.queue = append(c.queue[:index], c.queue[index+1:]...)
@@ -277,11 +276,12 @@
 	}
 }
 
-// afterAnswer wakes the reader. The mutex is held.
-func (c *connection) afterAnswer() {
+// wakeReader wakes the reader after a request has left the queue, or sets the idle deadline.
+// The mutex must be held.
+func (c *connection) wakeReader() {
 	switch {
-	case len(c.queue) > 0 || !c.idling:
-	case c.closing || c.blocked:
+	case len(c.queue) > 0 || !c.readerIdle:
+	case c.closing || c.readerBlocked:
 		_ = c.conn.SetReadDeadline(time.Unix(1, 0)) // wakes the reader
 	default:
 		_ = c.conn.SetReadDeadline(time.Now().Add(c.server.IdleTimeout))
@@ -289,19 +289,19 @@
 	c.changed.Broadcast()
 }
 
-// closesWith reports whether an answer tells that the connection closes. It does
-// so when its handler or its caller wants that and no request behind it has begun:
-// else the last of those will. From now on none is taken, or, where only the handler wants
-// it and others are outstanding, those that come are refused.
-func (c *connection) closesWith(answer *response) bool {
+// decideClose reports whether a response announces that the connection closes. It does so if
+// its handler or its caller wants that and no later request has started; otherwise the last of
+// those announces it. From then on no request is accepted, or, if only the handler wants to
+// close and other responses are outstanding, requests that arrive are rejected.
+func (c *connection) decideClose(answer *response) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	unread := answer.body != nil && !answer.body.done
-	endless := answer.length < 0 && !answer.chunked && !answer.bare
-	must := unread || endless || answer.request.Close || !answer.request.ProtoAtLeast(1, 1)
+	unread := answer.body != nil && !answer.body.consumed
+	unframed := answer.declaredLength < 0 && !answer.chunked && !answer.bodyless
+	mustClose := unread || unframed || answer.request.Close || !answer.request.ProtoAtLeast(1, 1)
 	last := len(c.queue) == 1
-	c.ending = c.ending || wantsClose(answer.header)
-	c.closing = c.closing || must || c.ending && (last || c.server.Behind == nil)
+	c.rejecting = c.rejecting || wantsClose(answer.header)
+	c.closing = c.closing || mustClose || c.rejecting && (last || c.server.RejectClosing == nil)
 	return c.closing && last
 }
 
@@ -310,56 +310,57 @@
 	return len(values) == 1 && values[0] == "close"
 }
 
-func (c *connection) addWaiting(bytes int) {
+func (c *connection) addPending(bytes int) {
 	if bytes == 0 {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.waiting += bytes
+	c.pendingBytes += bytes
 	c.changed.Broadcast()
 }
 
-// stopReading has no further request taken.
+// stopReading makes the connection accept no further requests.
 func (c *connection) stopReading() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.closing = true
 }
 
-// lingerFor is how long a closed connection is still read: bytes that arrive at a
-// closed socket reset it, and with that an answer that is still on its way.
-const lingerFor = 500 * time.Millisecond
+// lingerTime is how long a closed connection is still read: bytes that arrive at a closed
+// socket reset it, which would discard a response that is still in transit.
+const lingerTime = 500 * time.Millisecond
 
-// end closes the connection.
+// end closes the connection after the last response has been delivered.
 func (c *connection) end() {
-	half, canHalve := c.conn.(interface{ CloseWrite() error })
-	if c.context.Err() == nil && canHalve && half.CloseWrite() == nil {
-		_ = c.conn.SetReadDeadline(time.Now().Add(lingerFor))
+	halfCloser, canHalfClose := c.conn.(interface{ CloseWrite() error })
+	if c.context.Err() == nil && canHalfClose && halfCloser.CloseWrite() == nil {
+		_ = c.conn.SetReadDeadline(time.Now().Add(lingerTime))
 		_, _ = io.Copy(io.Discard, c.conn)
 	}
 	_ = c.conn.Close()
 }
 
-// cut ends the connection and all that runs on it, in this order: a handler that ends
-// because it is cancelled could else still send an answer, which would stand for nothing.
-func (c *connection) cut() {
+// abort closes the connection and then cancels its requests. In the other order, a handler
+// that returns because it is cancelled could still send a response that reflects only the
+// cancellation.
+func (c *connection) abort() {
 	_ = c.conn.Close()
 	c.cancel()
 }
 
-// unparsed stands for a request that can't be taken.
-func unparsed() *http.Request {
+// unparsedRequest is the placeholder for a request that could not be parsed.
+func unparsedRequest() *http.Request {
 	return &http.Request{Method: http.MethodGet, ProtoMajor: 1, ProtoMinor: 1, Close: true, Header: http.Header{}}
 }
 
-// handle answers a request that can't be taken.
-func (r *refusal) handle(writer http.ResponseWriter, _ *http.Request) {
+// respond writes the response to a request that can't be accepted.
+func (r *requestError) respond(writer http.ResponseWriter, _ *http.Request) {
 	text := r.remedy + "\n"
 	header := writer.Header()
 	header.Set("Connection", "close")
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	header.Set("Content-Length", strconv.Itoa(len(text)))
 	writer.WriteHeader(r.status)
-	_, _ = io.WriteString(writer, text) // an error means that the caller has gone
+	_, _ = io.WriteString(writer, text) // an error means that the caller has disconnected
 }
--- a/internal/httpserver/order_test.go
+++ b/internal/httpserver/order_test.go
@@ -16,30 +16,30 @@
 	"pgregory.net/rapid"
 )
 
-// planned is one request and how its handler behaves.
-type planned struct {
-	safe    bool
-	body    int // bytes
-	chunks  bool
-	runs    time.Duration
-	answers int // bytes
-	streams bool
-	closes  bool
-	breaks  bool
-	pause   time.Duration // before the request is sent
+// plannedRequest is one request and the behavior of its handler.
+type plannedRequest struct {
+	safe            bool
+	body            int // bytes
+	chunks          bool
+	duration        time.Duration
+	repetitions     int // repetitions of the index in the response body
+	chunkedResponse bool
+	closes          bool
+	aborts          bool
+	pause           time.Duration // before the request is sent
 }
 
-func drawPlan(t *rapid.T) []planned {
-	one := rapid.Custom(func(t *rapid.T) planned {
+func drawPlan(t *rapid.T) []plannedRequest {
+	one := rapid.Custom(func(t *rapid.T) plannedRequest {
 		rare := func(label string) bool { return rapid.IntRange(0, 9).Draw(t, label) == 0 }
-		p := planned{
-			safe:    rapid.IntRange(0, 3).Draw(t, "safe") > 0,
-			runs:    time.Duration(rapid.IntRange(0, 5).Draw(t, "runs")) * time.Second,
-			answers: rapid.SampledFrom([]int{0, 1, 100, 3 * writerSize}).Draw(t, "answers"),
-			streams: rapid.Bool().Draw(t, "streams"),
-			closes:  rare("closes"),
-			breaks:  rare("breaks"),
-			pause:   time.Duration(rapid.IntRange(0, 2).Draw(t, "pause")) * time.Second,
+		p := plannedRequest{
+			safe:            rapid.IntRange(0, 3).Draw(t, "safe") > 0,
+			duration:        time.Duration(rapid.IntRange(0, 5).Draw(t, "runs")) * time.Second,
+			repetitions:     rapid.SampledFrom([]int{0, 1, 100, 3 * writerSize}).Draw(t, "answers"),
+			chunkedResponse: rapid.Bool().Draw(t, "streams"),
+			closes:          rare("closes"),
+			aborts:          rare("breaks"),
+			pause:           time.Duration(rapid.IntRange(0, 2).Draw(t, "pause")) * time.Second,
 		}
 		if !p.safe {
 			p.body = rapid.SampledFrom([]int{0, 5, 2 * readerSize}).Draw(t, "body")
@@ -50,7 +50,7 @@
 	return rapid.SliceOfN(one, 1, 12).Draw(t, "requests")
 }
 
-func (p planned) text(index int) string {
+func (p plannedRequest) text(index int) string {
 	switch {
 	case p.safe:
 		return fmt.Sprintf("GET /%d HTTP/1.1\r\nHost: x\r\n\r\n", index)
@@ -61,91 +61,95 @@
 	}
 }
 
-// want is the answer's body.
-func (p planned) want(index int) string { return strings.Repeat(strconv.Itoa(index)+";", p.answers) }
-
-// workshop handles planned requests and notes what ran.
-type workshop struct {
-	plan    []planned
-	mutex   sync.Mutex
-	ran     map[int]int
-	running int
-	unsafe  int
-	problem string
+// want is the expected body of the response.
+func (p plannedRequest) want(index int) string {
+	return strings.Repeat(strconv.Itoa(index)+";", p.repetitions)
 }
 
-func (w *workshop) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+// planHandler handles planned requests and records which of them ran.
+type planHandler struct {
+	plan          []plannedRequest
+	mutex         sync.Mutex
+	ran           map[int]int
+	running       int
+	runningUnsafe int
+	problem       string
+}
+
+func (w *planHandler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	index, _ := strconv.Atoi(request.URL.Path[1:])
 	p := w.plan[index]
 	w.enter(index, p)
 	defer w.leave(p)
 	body, err := io.ReadAll(request.Body)
 	if err == nil && len(body) != p.body {
-		w.fault("request %d came with a body of %d bytes", index, len(body))
+		w.recordProblem("request %d arrived with a body of %d bytes", index, len(body))
 	}
 	select {
-	case <-time.After(p.runs):
+	case <-time.After(p.duration):
 	case <-request.Context().Done():
 		return
 	}
 	if p.closes {
 		writer.Header().Set("Connection", "close")
 	}
-	if !p.streams {
+	if !p.chunkedResponse {
 		writer.Header().Set("Content-Length", strconv.Itoa(len(p.want(index))))
 	}
 	_, _ = io.WriteString(writer, p.want(index))
-	if p.breaks {
+	if p.aborts {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (w *workshop) enter(index int, p planned) {
+func (w *planHandler) enter(index int, p plannedRequest) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.ran[index]++
 	w.running++
 	if !p.safe {
-		w.unsafe++
+		w.runningUnsafe++
 	}
-	if w.unsafe > 0 && w.running > 1 {
-		w.problem = fmt.Sprintf("request %d ran beside one that has to run alone", index)
+	if w.runningUnsafe > 0 && w.running > 1 {
+		w.problem = fmt.Sprintf("request %d ran concurrently with one that has to run alone", index)
 	}
 }
 
-func (w *workshop) leave(p planned) {
+func (w *planHandler) leave(p plannedRequest) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.running--
 	if !p.safe {
-		w.unsafe--
+		w.runningUnsafe--
 	}
 }
 
-func (w *workshop) fault(format string, args ...any) {
+func (w *planHandler) recordProblem(format string, args ...any) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.problem = fmt.Sprintf(format, args...)
 }
 
-// refuseBehind refuses what comes behind an answer that closes the connection.
-func refuseBehind(server *Server) {
-	server.Behind = http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+// rejectClosing makes the server reject requests that arrive after a response that closes the
+// connection.
+func rejectClosing(server *Server) {
+	server.RejectClosing = http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	})
 }
 
-// hasRun reports whether a request has begun to run.
-func (w *workshop) hasRun(index int) bool {
+// hasRun reports whether a request has started.
+func (w *planHandler) hasRun(index int) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.ran[index] > 0
 }
 
-// play sends the planned requests, reads the answers and tells what is wrong.
-func play(t *testing.T, plan []planned, change func(*Server)) string {
-	works := &workshop{plan: plan, ran: map[int]int{}}
-	c := dial(t, change, works.ServeHTTP)
+// runPlan sends the planned requests, reads the responses and returns the first problem found,
+// "" if there is none.
+func runPlan(t *testing.T, plan []plannedRequest, change func(*Server)) string {
+	handler := &planHandler{plan: plan, ran: map[int]int{}}
+	c := dial(t, change, handler.ServeHTTP)
 	sent := make(chan struct{})
 	defer func() { _ = c.conn.Close(); <-sent }()
 	go func() {
@@ -168,41 +172,41 @@
 			break
 		}
 		refused := response.StatusCode == http.StatusServiceUnavailable
-		if refused && works.hasRun(answered) {
-			return fmt.Sprintf("request %d ran and was refused", answered)
+		if refused && handler.hasRun(answered) {
+			return fmt.Sprintf("request %d ran and was rejected", answered)
 		}
 		if !refused && string(body) != plan[answered].want(answered) {
-			return fmt.Sprintf("answer %d is not that of its request", answered)
+			return fmt.Sprintf("response %d does not belong to its request", answered)
 		}
 		answered++
 		closed = response.Close
 	}
-	if works.problem != "" {
-		return works.problem
+	if handler.problem != "" {
+		return handler.problem
 	}
-	return works.judge(answered, closed, c.reader)
+	return handler.check(answered, closed, c.reader)
 }
 
-// judge compares what ran with what was answered.
-func (w *workshop) judge(answered int, closed bool, reader *bufio.Reader) string {
+// check compares the requests that ran with the responses.
+func (w *planHandler) check(answered int, closed bool, reader *bufio.Reader) string {
 	if answered < len(w.plan) {
 		if _, err := reader.ReadByte(); err == nil {
-			return "bytes came that are no answer"
+			return "received bytes that are not a response"
 		}
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	// One that breaks off may have got all of its answer out before.
-	broken := slices.ContainsFunc(w.plan[:min(answered+1, len(w.plan))], func(p planned) bool { return p.breaks })
+	// An aborted response may have been sent in full before the abort.
+	broken := slices.ContainsFunc(w.plan[:min(answered+1, len(w.plan))], func(p plannedRequest) bool { return p.aborts })
 	if answered < len(w.plan) && !closed && !broken {
-		return fmt.Sprintf("the connection ended after %d of %d answers", answered, len(w.plan))
+		return fmt.Sprintf("the connection ended after %d of %d responses", answered, len(w.plan))
 	}
 	for index, times := range w.ran {
 		if times > 1 {
 			return fmt.Sprintf("request %d ran twice", index)
 		}
 		if index >= answered && !broken {
-			return fmt.Sprintf("request %d ran and was not answered, after %d answers and a close", index, answered)
+			return fmt.Sprintf("request %d ran and got no response, after %d responses and a close", index, answered)
 		}
 		if index > answered && !w.plan[index].safe {
 			return fmt.Sprintf("request %d must not be repeated and ran, but counts as not read", index)
@@ -211,19 +215,19 @@
 	return ""
 }
 
-// Answers come in the order of the requests, each whole and to its own request;
-// what has to run alone does; what ran is answered, unless an answer broke off; and
-// what stands behind an answer that closes the connection did not run, whether it is refused
-// or not read.
-func TestOrderedAnswers(t *testing.T) {
+// Responses are sent in the order of the requests, each complete and to its own request;
+// requests that have to run alone do; each request that ran gets its response, unless a
+// response was aborted; and requests after a response that closes the connection do not run,
+// whether they are rejected or not read.
+func TestResponsesFollowRequestOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawPlan(rt)
 		var change func(*Server)
 		if rapid.Bool().Draw(rt, "refuses") {
-			change = refuseBehind
+			change = rejectClosing
 		}
 		problem := ""
-		synctest.Test(t, func(t *testing.T) { problem = play(t, plan, change) })
+		synctest.Test(t, func(t *testing.T) { problem = runPlan(t, plan, change) })
 		if problem != "" {
 			rt.Fatal(problem)
 		}
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -11,42 +11,43 @@
 	"time"
 )
 
-// response is the answer to one request, and its http.ResponseWriter. It writes
-// to the connection once all answers before it are complete; until then Write
-// and Flush wait.
+// response is the response to one request, and its http.ResponseWriter. It writes to the
+// connection once all responses before it are complete; until then Write and Flush block.
 type response struct {
-	conn    *connection
-	request *http.Request
-	cancel  context.CancelFunc
-	body    *requestBody  // nil: the request has none
-	ahead   bool          // whether it may run beside others
-	turn    chan struct{} // closed once the answers before it are complete
-
-	header  http.Header
-	status  int        // final one, 0: not yet given
-	until   time.Time  // when writing ends; zero: never
-	mine    bool       // whether its turn has come
-	sending sync.Mutex // guards sent, and informational answers before the final one
-	sent    bool       // whether the header has been written
-	length  int64      // announced, -1: none
-	written int64      // bytes of the body
-	chunked bool
-	bare    bool // whether no body is sent, whatever the handler writes
-	writer  *bufio.Writer
-}
-
-// writerSize is the size of a response's write buffer: a header and a short body.
+	conn       *connection
+	request    *http.Request
+	cancel     context.CancelFunc
+	body       *requestBody  // nil: the request has no body
+	concurrent bool          // whether the request may run concurrently with others of its connection
+	turn       chan struct{} // closed once the responses before it are complete
+
+	header         http.Header
+	status         int        // final status, 0: not yet set
+	deadline       time.Time  // zero: none
+	hasTurn        bool       // whether it may write to the connection, since its turn has come
+	headerMutex    sync.Mutex // guards headerSent, and writes of informational responses before the final one
+	headerSent     bool       // whether the header has been written
+	declaredLength int64      // declared by Content-Length, -1: none
+	written        int64      // bytes of the body
+	chunked        bool
+	bodyless       bool // whether the response has no body, so that what the handler writes is discarded
+	writer         *bufio.Writer
+}
+
+// writerSize is the size of a response's write buffer in bytes: enough for a header and a
+// short body.
 const writerSize = 4 << 10
 
 var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writerSize) }}
 
-var errLongBody = errors.New("the body is longer than its announced length")
+var errBodyTooLong = errors.New("the body is longer than its announced length")
 
 // Header implements http.ResponseWriter.
 func (r *response) Header() http.Header { return r.header }
 
-// WriteHeader implements http.ResponseWriter. An informational status goes out at
-// once where it can; the final one goes out with the first byte of the body.
+// WriteHeader implements http.ResponseWriter. An informational status is written at once if
+// all earlier responses are complete, else dropped; the final one is written with the first
+// byte of the body.
 func (r *response) WriteHeader(status int) {
 	switch {
 	case r.status != 0:
@@ -57,26 +58,26 @@
 	}
 }
 
-// inform writes an informational answer, unless others stand before it.
+// inform writes an informational response, unless earlier responses are incomplete.
 func (r *response) inform(status int) {
 	if !r.isFirst() {
 		return
 	}
-	_ = r.writeInformational(status) // a failure shows at the final answer
+	_ = r.writeInformational(status) // a failed write shows again in the final response
 }
 
-// writeInformational writes an answer that another one follows, if none has.
+// writeInformational writes an informational response unless the final one has begun.
 func (r *response) writeInformational(status int) error {
-	r.sending.Lock()
-	defer r.sending.Unlock()
-	if r.sent {
+	r.headerMutex.Lock()
+	defer r.headerMutex.Unlock()
+	if r.headerSent {
 		return nil
 	}
 	_, err := io.WriteString(r.conn.conn, statusLine(status)+"\r\n")
 	return err
 }
 
-// isFirst reports whether the turn has come, without waiting.
+// isFirst reports, without blocking, whether the responses before this one are complete.
 func (r *response) isFirst() bool {
 	select {
 	case <-r.turn:
@@ -93,10 +94,10 @@
 		return 0, err
 	}
 	switch {
-	case r.bare:
+	case r.bodyless:
 		return len(data), nil
-	case r.length >= 0 && r.written+int64(len(data)) > r.length:
-		return 0, errLongBody
+	case r.declaredLength >= 0 && r.written+int64(len(data)) > r.declaredLength:
+		return 0, errBodyTooLong
 	}
 	r.written += int64(len(data))
 	if !r.chunked || len(data) == 0 {
@@ -108,7 +109,7 @@
 	return count, err
 }
 
-// FlushError sends what has been written. http.ResponseController calls it.
+// FlushError writes buffered data to the connection. http.ResponseController calls it.
 func (r *response) FlushError() error {
 	r.WriteHeader(http.StatusOK)
 	if err := r.begin(0); err != nil {
@@ -117,78 +118,82 @@
 	return r.writer.Flush()
 }
 
-// SetWriteDeadline bounds the writing of this answer.
-func (r *response) SetWriteDeadline(until time.Time) error {
-	r.until = until
-	if r.mine {
-		return r.conn.conn.SetWriteDeadline(until)
+// SetWriteDeadline sets the deadline for writing this response. http.ResponseController calls
+// it.
+func (r *response) SetWriteDeadline(deadline time.Time) error {
+	r.deadline = deadline
+	if r.hasTurn {
+		return r.conn.conn.SetWriteDeadline(deadline)
 	}
 	return nil
 }
 
-// SetReadDeadline bounds the reading of this request's body.
-func (r *response) SetReadDeadline(until time.Time) error {
+// SetReadDeadline sets the deadline for reading this request's body. http.ResponseController
+// calls it.
+func (r *response) SetReadDeadline(deadline time.Time) error {
 	r.conn.mutex.Lock()
 	defer r.conn.mutex.Unlock()
-	if r.body == nil || r.body.done || r.body.ended {
+	if r.body == nil || r.body.consumed || r.body.requestEnded {
 		return nil
 	}
-	r.body.until = until
-	if r.body.awaited {
-		return nil // it is watched for the caller's leaving until it is asked for
+	r.body.deadline = deadline
+	if r.body.expectsContinue {
+		return nil // the connection reads without a deadline to detect a disconnect until 100 Continue is sent
 	}
-	return r.conn.conn.SetReadDeadline(until)
+	return r.conn.conn.SetReadDeadline(deadline)
 }
 
-// begin waits for the turn and writes the header, before the first bytes of the
-// body.
-func (r *response) begin(waiting int) error {
-	if err := r.await(waiting); err != nil {
+// begin waits for this response's turn and writes the header. pending is the number of body
+// bytes that wait meanwhile.
+func (r *response) begin(pending int) error {
+	if err := r.awaitTurn(pending); err != nil {
 		return err
 	}
-	r.sending.Lock()
-	defer r.sending.Unlock()
-	if !r.sent {
-		r.sent = true
+	r.headerMutex.Lock()
+	defer r.headerMutex.Unlock()
+	if !r.headerSent {
+		r.headerSent = true
 		r.sendHeader()
 	}
 	return nil
 }
 
-// await returns when the answers before this one are complete.
-func (r *response) await(waiting int) error {
-	if r.mine {
+// awaitTurn returns when the responses before this one are complete, with an error when the
+// connection ends before.
+func (r *response) awaitTurn(pending int) error {
+	if r.hasTurn {
 		return nil
 	}
 	if !r.isFirst() {
-		r.conn.addWaiting(waiting)
-		defer r.conn.addWaiting(-waiting)
+		r.conn.addPending(pending)
+		defer r.conn.addPending(-pending)
 		select {
 		case <-r.turn:
 		case <-r.conn.context.Done():
 			return r.conn.context.Err()
 		}
 	}
-	r.mine = true
+	r.hasTurn = true
 	r.writer = writers.Get().(*bufio.Writer)
 	r.writer.Reset(r.conn.conn)
-	return r.conn.conn.SetWriteDeadline(r.until)
+	return r.conn.conn.SetWriteDeadline(r.deadline)
 }
 
-// framing are the headers that the server itself writes.
-var framing = map[string]bool{"Connection": true, "Content-Length": true, "Transfer-Encoding": true}
+// framingHeaders are the headers that the server itself writes.
+var framingHeaders = map[string]bool{"Connection": true, "Content-Length": true, "Transfer-Encoding": true}
 
-// sendHeader decides how the body is framed and whether the connection goes on.
+// sendHeader decides how the body is framed and whether the connection closes, and writes the
+// header.
 func (r *response) sendHeader() {
 	r.frame()
-	closes := r.conn.closesWith(r)
+	closes := r.conn.decideClose(r)
 	_, _ = r.writer.WriteString(statusLine(r.status)) // the buffer keeps its error
-	_ = r.header.WriteSubset(r.writer, framing)
+	_ = r.header.WriteSubset(r.writer, framingHeaders)
 	switch {
 	case r.chunked:
 		r.writeField("Transfer-Encoding", "chunked")
-	case r.length >= 0:
-		r.writeField("Content-Length", strconv.FormatInt(r.length, 10))
+	case r.declaredLength >= 0:
+		r.writeField("Content-Length", strconv.FormatInt(r.declaredLength, 10))
 	}
 	if closes {
 		r.writeField("Connection", "close")
@@ -200,31 +205,32 @@
 	_, _ = r.writer.WriteString(name + ": " + value + "\r\n")
 }
 
-// frame decides between a length, chunks and the end of the connection.
+// frame decides whether the body is framed by its length, in chunks or by the end of the
+// connection.
 func (r *response) frame() {
-	r.length = -1
-	if told := r.header["Content-Length"]; len(told) == 1 {
-		if length, err := strconv.ParseInt(told[0], 10, 64); err == nil && length >= 0 {
-			r.length = length
+	r.declaredLength = -1
+	if declared := r.header["Content-Length"]; len(declared) == 1 {
+		if length, err := strconv.ParseInt(declared[0], 10, 64); err == nil && length >= 0 {
+			r.declaredLength = length
 		}
 	}
 	empty := r.status == http.StatusNoContent || r.status == http.StatusNotModified
-	r.bare = empty || r.request.Method == http.MethodHead
+	r.bodyless = empty || r.request.Method == http.MethodHead
 	if r.status == http.StatusNoContent {
-		r.length = -1
+		r.declaredLength = -1
 	}
-	r.chunked = !r.bare && r.length < 0 && r.request.ProtoAtLeast(1, 1)
+	r.chunked = !r.bodyless && r.declaredLength < 0 && r.request.ProtoAtLeast(1, 1)
 }
 
-// statusLine is the first line of an answer.
+// statusLine returns the first line of a response.
 func statusLine(status int) string {
 	return "HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n"
 }
 
-// finish completes the answer. It reports whether it is whole.
+// finish completes the response. It reports whether all of it was written.
 func (r *response) finish() bool {
 	r.WriteHeader(http.StatusOK)
-	if !r.isSent() && len(r.header["Content-Length"]) == 0 && r.request.Method != http.MethodHead {
+	if !r.isHeaderSent() && len(r.header["Content-Length"]) == 0 && r.request.Method != http.MethodHead {
 		r.header["Content-Length"] = []string{"0"}
 	}
 	if r.begin(0) != nil {
@@ -233,17 +239,17 @@
 	if r.chunked {
 		_, _ = r.writer.WriteString("0\r\n\r\n")
 	}
-	whole := r.bare || r.length < 0 || r.written == r.length
-	return r.writer.Flush() == nil && whole
+	complete := r.bodyless || r.declaredLength < 0 || r.written == r.declaredLength
+	return r.writer.Flush() == nil && complete
 }
 
-func (r *response) isSent() bool {
-	r.sending.Lock()
-	defer r.sending.Unlock()
-	return r.sent
+func (r *response) isHeaderSent() bool {
+	r.headerMutex.Lock()
+	defer r.headerMutex.Unlock()
+	return r.headerSent
 }
 
-// release gives the write buffer back.
+// release returns the write buffer to the pool.
 func (r *response) release() {
 	if r.writer == nil {
 		return
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,13 +1,12 @@
-// Package httpserver serves HTTP/1.1 connections on which callers may send
-// requests ahead of the answers (pipelining, RFC 9112, section 9.3.2). Requests
-// that are safe run at once, beside one another; their answers go out in the
-// order of the requests. Any other request runs alone on its connection.
+// Package httpserver serves HTTP/1.1 connections with pipelining (RFC 9112, section 9.3.2):
+// callers may send requests before the responses to earlier ones. Safe requests run
+// concurrently; their responses are sent in the order of the requests. Any other request runs
+// alone on its connection.
 //
-// It parses requests by net/http and differs from its server in three things:
-// requests that were sent ahead don't wait for one another, headers that two
-// programs may read in two ways are refused for every request of a connection,
-// and an answer tells that the connection closes only where no request behind it
-// has begun.
+// It parses requests with net/http and differs from the server of net/http in three ways:
+// pipelined requests don't wait for one another; every request whose header two programs may
+// read differently is rejected, not only the first of a connection; and a response announces
+// that the connection closes only if no later request has started.
 package httpserver
 
 import (
@@ -23,27 +22,28 @@
 	"sliphead/internal/defaults"
 )
 
-// Server holds what the connections of a listener have in common. Handler is
-// required; the other fields are set before Serve or left to their defaults.
+// Server is an HTTP/1.1 server. Handler is required; the other fields are set before Serve or
+// left at their defaults.
 type Server struct {
 	Handler http.Handler
-	// Safe reports whether a request may run while others of its connection do,
-	// and be thrown away when its answer can't be sent. Nil: none may.
+	// Safe reports whether a request may run concurrently with others of its connection, and
+	// may be discarded when its response can't be sent. Nil: no request may.
 	Safe func(*http.Request) bool
-	// Behind refuses requests that come behind an answer which closes the connection, while
-	// others are outstanding; nil: they are not read. A caller may take one that is not read
-	// for long as lost, and leave.
-	Behind http.Handler
+	// RejectClosing rejects requests that arrive after a response that closes the connection,
+	// while other responses are outstanding. Nil: they are not read. A caller may take a
+	// request that is not read for long as lost, and close the connection.
+	RejectClosing http.Handler
 
 	HeaderTimeout  time.Duration // to read a request's header, from its first byte
 	IdleTimeout    time.Duration // between requests
 	MaxHeaderBytes int
-	// MaxAhead is how many requests of one connection run or wait at once.
-	MaxAhead int
-	// MaxWaiting is how many bytes of answers of one connection may wait for
-	// their turn before no further request is read.
-	MaxWaiting int
-	Logger     log.Interface
+	// MaxPipelined is the maximum number of requests of one connection that run or wait at
+	// once.
+	MaxPipelined int
+	// MaxPendingBytes is how many bytes of responses of one connection may wait for their turn
+	// before no further request is read.
+	MaxPendingBytes int
+	Logger          log.Interface
 
 	mutex       sync.Mutex
 	closed      bool
@@ -51,20 +51,20 @@
 	connections map[*connection]struct{}
 }
 
-// The defaults. A connection costs two goroutines and a read buffer, and for each
-// request ahead a goroutine and its answer.
+// The defaults. A connection costs two goroutines and a read buffer, and for each pipelined
+// request a goroutine and its response.
 const (
-	defaultHeaderTimeout  = 5 * time.Second
-	defaultIdleTimeout    = 2 * time.Minute
-	defaultMaxHeaderBytes = 32 << 10
-	defaultMaxAhead       = 32       // more than callers keep open on one connection
-	defaultMaxWaiting     = 64 << 10 // some dozens of short answers
+	defaultHeaderTimeout   = 5 * time.Second
+	defaultIdleTimeout     = 2 * time.Minute
+	defaultMaxHeaderBytes  = 32 << 10
+	defaultMaxPipelined    = 32       // more than callers have outstanding on one connection
+	defaultMaxPendingBytes = 64 << 10 // some dozens of short responses
 )
 
-// ErrServerClosed is what Serve returns after Close.
+// ErrServerClosed is returned by Serve after Close.
 var ErrServerClosed = errors.New("the server was closed")
 
-func (s *Server) prepare() {
+func (s *Server) setDefaults() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.connections != nil {
@@ -75,33 +75,34 @@
 	defaults.Set(&s.HeaderTimeout, defaultHeaderTimeout)
 	defaults.Set(&s.IdleTimeout, defaultIdleTimeout)
 	defaults.Set(&s.MaxHeaderBytes, defaultMaxHeaderBytes)
-	defaults.Set(&s.MaxAhead, defaultMaxAhead)
-	defaults.Set(&s.MaxWaiting, defaultMaxWaiting)
+	defaults.Set(&s.MaxPipelined, defaultMaxPipelined)
+	defaults.Set(&s.MaxPendingBytes, defaultMaxPendingBytes)
 	if s.Logger == nil {
 		s.Logger = log.Log
 	}
 }
 
-// Bounds of the pause after an accept that failed for the moment, for instance
-// because no descriptor is left.
+// Bounds of the backoff after a temporary error of Accept, for example when no file descriptor
+// is left.
 const (
-	firstAcceptPause = 5 * time.Millisecond
-	mostAcceptPause  = time.Second
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = time.Second
 )
 
-// Serve accepts connections until the listener fails or Close is called.
+// Serve accepts connections until the listener fails or Close is called. It may be called
+// concurrently for several listeners.
 func (s *Server) Serve(listener net.Listener) error {
-	s.prepare()
-	if !s.add(listener) {
+	s.setDefaults()
+	if !s.addListener(listener) {
 		_ = listener.Close()
 		return ErrServerClosed
 	}
-	pause := firstAcceptPause
+	backoff := minAcceptBackoff
 	for {
 		conn, err := listener.Accept()
 		if err == nil {
-			pause = firstAcceptPause
-			s.start(conn)
+			backoff = minAcceptBackoff
+			s.startConnection(conn)
 			continue
 		}
 		if s.isClosed() {
@@ -110,19 +111,19 @@
 		if !isTemporary(err) {
 			return err
 		}
-		time.Sleep(pause)
-		pause = min(2*pause, mostAcceptPause)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, maxAcceptBackoff)
 	}
 }
 
-// isTemporary reports whether an accept may succeed later. The standard library
-// has no other way to tell; its own server asks the same.
+// isTemporary reports whether a later Accept may succeed. The standard library has no other
+// way to detect this; its own server uses the same check.
 func isTemporary(err error) bool {
 	var temporary interface{ Temporary() bool }
 	return errors.As(err, &temporary) && temporary.Temporary()
 }
 
-func (s *Server) add(listener net.Listener) bool {
+func (s *Server) addListener(listener net.Listener) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
@@ -132,7 +133,7 @@
 	return true
 }
 
-func (s *Server) start(conn net.Conn) {
+func (s *Server) startConnection(conn net.Conn) {
 	c := newConnection(s, conn)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -144,7 +145,7 @@
 	go c.serve()
 }
 
-func (s *Server) forget(c *connection) {
+func (s *Server) removeConnection(c *connection) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.connections, c)
@@ -156,9 +157,9 @@
 	return s.closed
 }
 
-// Close closes the listeners and cuts the connections.
+// Close closes the listeners and aborts the connections.
 func (s *Server) Close() error {
-	s.prepare()
+	s.setDefaults()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closed = true
@@ -166,18 +167,18 @@
 		_ = listener.Close()
 	}
 	for c := range s.connections {
-		c.cut()
+		c.abort()
 	}
 	return nil
 }
 
-// mayRunAhead reports whether a request may run beside others of its connection.
-// One with a body has to be read to its end first.
-func (s *Server) mayRunAhead(request *http.Request) bool {
+// mayRunConcurrently reports whether a request may run concurrently with others of its
+// connection. A request with a body may not: the body must be read to its end first.
+func (s *Server) mayRunConcurrently(request *http.Request) bool {
 	return s.Safe != nil && request.ContentLength == 0 && s.Safe(request)
 }
 
-// contextFor is the context of a connection's requests.
-func contextFor() (context.Context, context.CancelFunc) {
+// newConnectionContext returns the context of a connection's requests.
+func newConnectionContext() (context.Context, context.CancelFunc) {
 	return context.WithCancel(context.Background())
 }
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -20,14 +20,14 @@
 	"sliphead/internal/logging"
 )
 
-// network is a listener whose connections are pipes in memory, so that time can
-// be virtual.
-type network struct {
+// memoryListener is a listener whose connections are in-memory pipes, so that tests can use
+// virtual time.
+type memoryListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 }
 
-func (n *network) Accept() (net.Conn, error) {
+func (n *memoryListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-n.conns:
 		return conn, nil
@@ -35,36 +35,36 @@
 		return nil, net.ErrClosed
 	}
 }
-func (n *network) Close() error   { close(n.closed); return nil }
-func (n *network) Addr() net.Addr { return &net.TCPAddr{} }
+func (n *memoryListener) Close() error   { close(n.closed); return nil }
+func (n *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// caller is the other end of one connection.
+// caller is the client side of one connection.
 type caller struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// dial serves with a handler and opens a connection. GET is taken to be safe.
+// dial starts a server with a handler and opens a connection to it. GET requests are safe.
 func dial(t *testing.T, change func(*Server), handler http.HandlerFunc) *caller {
 	server := &Server{Handler: handler, Safe: func(r *http.Request) bool { return r.Method == http.MethodGet }, Logger: logging.Discard()}
 	if change != nil {
 		change(server)
 	}
-	listener := &network{conns: make(chan net.Conn), closed: make(chan struct{})}
+	listener := &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	go func() { _ = server.Serve(listener) }()
-	near, far := net.Pipe()
-	listener.conns <- far
-	t.Cleanup(func() { _ = server.Close(); _ = near.Close() })
-	return &caller{t: t, conn: near, reader: bufio.NewReader(near)}
+	client, serverEnd := net.Pipe()
+	listener.conns <- serverEnd
+	t.Cleanup(func() { _ = server.Close(); _ = client.Close() })
+	return &caller{t: t, conn: client, reader: bufio.NewReader(client)}
 }
 
-// send writes without waiting for the other side to read.
+// send writes without waiting for the server to read.
 func (c *caller) send(text string) {
 	go func() { _, _ = io.WriteString(c.conn, text) }()
 }
 
-// get sends requests, one behind the other in one write.
+// get sends pipelined GET requests in one write.
 func (c *caller) get(paths ...string) {
 	var text strings.Builder
 	for _, path := range paths {
@@ -73,8 +73,8 @@
 	c.send(text.String())
 }
 
-// answer reads one answer with its body.
-func (c *caller) answer() (*http.Response, string) {
+// readResponse reads one response with its body.
+func (c *caller) readResponse() (*http.Response, string) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	must.NoError(c.t, err)
@@ -83,15 +83,15 @@
 	return response, string(body)
 }
 
-// ended reads the end of the connection.
-func (c *caller) ended() {
+// expectEnd checks that the connection has ended.
+func (c *caller) expectEnd() {
 	c.t.Helper()
 	_, err := c.reader.ReadByte()
 	must.Error(c.t, err)
 }
 
-// sleepy runs as long as the query says and answers with the path.
-func sleepy(w http.ResponseWriter, r *http.Request) {
+// respondLater responds with the path after the duration in the query.
+func respondLater(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	duration, _ := time.ParseDuration(r.URL.Query().Get("for"))
 	select {
@@ -101,13 +101,13 @@
 	}
 }
 
-func TestRequestsAheadRunAtOnceAndAnswerInOrder(t *testing.T) {
+func TestPipelinedRequestsRunConcurrentlyAndRespondInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := dial(t, nil, sleepy)
+		c := dial(t, nil, respondLater)
 		began := time.Now()
 		c.get("/a?for=3s", "/b?for=1s", "/c?for=2s")
 		for _, path := range []string{"/a", "/b", "/c"} {
-			response, body := c.answer()
+			response, body := c.readResponse()
 			must.Eq(t, http.StatusOK, response.StatusCode)
 			must.Eq(t, path, body)
 		}
@@ -115,8 +115,8 @@
 	})
 }
 
-// A request that is not safe runs alone: after those before it, before those
-// behind it.
+// A request that is not safe starts after those before it have ended, and ends before those
+// after it start.
 func TestUnsafeRequestsRunAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var running, together atomic.Int32
@@ -126,7 +126,7 @@
 			if r.Method == http.MethodPost {
 				together.Add(others)
 			}
-			sleepy(w, r)
+			respondLater(w, r)
 			if r.Method == http.MethodPost {
 				together.Add(running.Load() - 1)
 			}
@@ -136,7 +136,7 @@
 		post := "POST /b?for=1s HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi"
 		c.send(get + get + post + get + post)
 		for _, path := range []string{"/a", "/a", "/b", "/a", "/b"} {
-			_, body := c.answer()
+			_, body := c.readResponse()
 			must.Eq(t, path, body)
 		}
 		must.Zero(t, together.Load())
@@ -144,9 +144,9 @@
 	})
 }
 
-// An answer that closes the connection is the last, and what stands behind it was
-// not read: it has not run, be it safe or not.
-func TestNothingRunsBehindAnAnswerThatCloses(t *testing.T) {
+// A response that closes the connection is the last one. A request after it is not read and
+// does not run, whether it is safe or not.
+func TestNoRequestRunsAfterAResponseThatCloses(t *testing.T) {
 	for _, behind := range []string{"GET", "POST"} {
 		t.Run(behind, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -157,93 +157,95 @@
 					_, _ = io.WriteString(w, "bye")
 				})
 				c.get("/a")
-				response, _ := c.answer()
+				response, _ := c.readResponse()
 				must.True(t, response.Close)
 				c.send(behind + " /b HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
-				c.ended()
+				c.expectEnd()
 				must.Eq(t, 1, runs.Load())
 			})
 		})
 	}
 }
 
-// The same for a request of which only a part had come when the answer went out.
-func TestNothingRunsOfWhichOnlyAPartHadCome(t *testing.T) {
+// A request of which only a part had arrived when a response closed the connection does not
+// run.
+func TestPartialRequestDoesNotRunAfterAResponseThatCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs atomic.Int32
 		c := dial(t, nil, func(w http.ResponseWriter, r *http.Request) {
 			runs.Add(1)
 			w.Header().Set("Connection", "close")
-			sleepy(w, r)
+			respondLater(w, r)
 		})
 		c.send("GET /a?for=1s HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHo")
-		response, _ := c.answer()
+		response, _ := c.readResponse()
 		must.True(t, response.Close)
 		c.send("st: x\r\n\r\n")
-		c.ended()
+		c.expectEnd()
 		must.Eq(t, 1, runs.Load())
 	})
 }
 
-// When requests behind an answer have begun, it does not tell that the connection
-// closes: the last of them does, and all get their answers.
-func TestCloseIsToldByTheLastThatHasBegun(t *testing.T) {
+// When later requests have already started, a response does not announce that the connection
+// closes: the last of them does, and all get their responses.
+func TestLastStartedRequestAnnouncesClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := dial(t, nil, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Connection", "close")
-			sleepy(w, r)
+			respondLater(w, r)
 		})
 		c.get("/a?for=1s", "/b?for=2s", "/c?for=1s")
 		for _, path := range []string{"/a", "/b", "/c"} {
-			response, body := c.answer()
+			response, body := c.readResponse()
 			must.Eq(t, path, body)
 			must.Eq(t, path == "/c", response.Close)
 		}
-		c.ended()
+		c.expectEnd()
 	})
 }
 
-// Seen: an answer was lost with its connection although its worker had made it. A node that
-// stops read nothing behind an answer that closes, while others were outstanding; the caller
-// gave up what it had sent behind, closed the connection, and with it what it waited for.
+// A response was lost with its connection although its worker had produced it. A stopping node
+// stopped reading after a response that closes, while other responses were outstanding; the
+// caller gave up the requests that it had sent after it, closed the connection, and lost the
+// responses that it still waited for.
 //
-// What comes behind an answer that closes, while others are outstanding, is read and refused
-// in its turn. It does not run.
-func TestRequestsBehindAnAnswerThatClosesAreRefused(t *testing.T) {
+// So requests that arrive after a response that closes, while others are outstanding, must be
+// read and rejected in their turn, without running.
+func TestRequestsAfterAResponseThatClosesAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs atomic.Int32
 		c := dial(t, func(server *Server) {
-			server.Behind = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			server.RejectClosing = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(http.StatusServiceUnavailable)
 				_, _ = io.WriteString(w, "behind")
 			})
 		}, func(w http.ResponseWriter, r *http.Request) {
 			runs.Add(1)
 			w.Header().Set("Connection", "close")
-			sleepy(w, r)
+			respondLater(w, r)
 		})
 		c.get("/a?for=1s", "/b?for=3s")
-		response, _ := c.answer()
+		response, _ := c.readResponse()
 		must.False(t, response.Close)
 		c.get("/c", "/d")
 		synctest.Wait()
-		response, body := c.answer()
+		response, body := c.readResponse()
 		must.Eq(t, "/b", body)
 		must.False(t, response.Close)
 		for _, last := range []bool{false, true} {
-			response, body = c.answer()
+			response, body = c.readResponse()
 			must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
 			must.Eq(t, "behind", body)
 			must.Eq(t, last, response.Close)
 		}
-		c.ended()
+		c.expectEnd()
 		must.Eq(t, 2, runs.Load())
 	})
 }
 
-// A caller that leaves ends each of its requests at once, also those that wait for
-// their turn or behind one that runs alone.
-func TestLeavingEndsAllRequests(t *testing.T) {
+// When a caller disconnects, each of its requests is cancelled at once, also those that wait
+// for their turn or for a request that runs alone.
+func TestCallerDisconnectCancelsAllRequests(t *testing.T) {
 	for name, text := range map[string]string{
 		"ahead":  strings.Repeat("GET /a?for=1h HTTP/1.1\r\nHost: x\r\n\r\n", 3),
 		"alone":  "POST /a?for=1h HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi",
@@ -255,7 +257,7 @@
 				c := dial(t, nil, func(w http.ResponseWriter, r *http.Request) {
 					begun.Add(1)
 					_, _ = io.Copy(io.Discard, r.Body)
-					sleepy(w, r)
+					respondLater(w, r)
 					ended.Add(1)
 				})
 				c.send(text)
@@ -273,24 +275,24 @@
 	}
 }
 
-// An answer that breaks off ends the connection, after the answers before it.
-func TestBrokenAnswerEndsTheConnection(t *testing.T) {
+// An aborted response closes the connection after the responses before it were sent.
+func TestAbortedResponseClosesTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := dial(t, nil, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/b" {
 				panic(http.ErrAbortHandler)
 			}
-			sleepy(w, r)
+			respondLater(w, r)
 		})
 		c.get("/a?for=1s", "/b", "/c")
-		_, body := c.answer()
+		_, body := c.readResponse()
 		must.Eq(t, "/a", body)
-		c.ended()
+		c.expectEnd()
 	})
 }
 
-// A body that is shorter than announced does not look whole.
-func TestShortBodyIsCut(t *testing.T) {
+// A response body shorter than its Content-Length must not look complete to the caller.
+func TestShortResponseBodyIsSeenAsTruncated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := dial(t, nil, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "9")
@@ -304,26 +306,26 @@
 	})
 }
 
-// The number of requests that run ahead is bounded, and so are the bytes of
-// answers that wait: then no further request is read.
-func TestRequestsAheadAreBounded(t *testing.T) {
+// The number of pipelined requests that run is limited, and so are the bytes of responses that
+// wait for their turn: at either limit no further request is read.
+func TestPipelinedRequestsAreLimited(t *testing.T) {
 	const bound = 4
 	synctest.Test(t, func(t *testing.T) {
 		var begun atomic.Int32
-		c := dial(t, func(s *Server) { s.MaxAhead = bound }, func(w http.ResponseWriter, r *http.Request) {
+		c := dial(t, func(s *Server) { s.MaxPipelined = bound }, func(w http.ResponseWriter, r *http.Request) {
 			begun.Add(1)
-			sleepy(w, r)
+			respondLater(w, r)
 		})
 		c.get("/a?for=1s", "/a", "/a", "/a", "/a", "/a")
 		synctest.Wait()
 		must.Eq(t, bound, begun.Load())
 		for range 6 {
-			c.answer()
+			c.readResponse()
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
 		var begun atomic.Int32
-		c := dial(t, func(s *Server) { s.MaxWaiting = 10 }, func(w http.ResponseWriter, r *http.Request) {
+		c := dial(t, func(s *Server) { s.MaxPendingBytes = 10 }, func(w http.ResponseWriter, r *http.Request) {
 			begun.Add(1)
 			if r.URL.Path == "/a" {
 				time.Sleep(time.Second)
@@ -336,15 +338,15 @@
 		synctest.Wait()
 		c.get("/c")
 		synctest.Wait()
-		must.Eq(t, 2, begun.Load()) // the answer of /b waits, and is as much as may
+		must.Eq(t, 2, begun.Load()) // the response of /b waits and reaches MaxPendingBytes
 		for range 3 {
-			c.answer()
+			c.readResponse()
 		}
 	})
 }
 
-// A body of known length, one in chunks, and one that is asked for.
-func TestBodies(t *testing.T) {
+// Request bodies of known length, in chunks, and with Expect: 100-continue are read in full.
+func TestRequestBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := dial(t, nil, func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
@@ -355,7 +357,7 @@
 			"POST /b HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nchu\r\n3\r\nnks\r\n0\r\nTrailer: y\r\n\r\n" +
 			"GET /c HTTP/1.1\r\nHost: x\r\n\r\n")
 		for _, want := range []string{"whole", "chunks", ""} {
-			_, body := c.answer()
+			_, body := c.readResponse()
 			must.Eq(t, want, body)
 		}
 		c.send("POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
@@ -363,24 +365,24 @@
 		must.NoError(t, err)
 		must.Eq(t, http.StatusContinue, response.StatusCode)
 		c.send("asked")
-		_, body := c.answer()
+		_, body := c.readResponse()
 		must.Eq(t, "asked", body)
 	})
 }
 
-// The connection ends after an answer whose request's body was not read.
-func TestUnreadBodyEndsTheConnection(t *testing.T) {
+// The connection closes after the response to a request whose body was not read.
+func TestUnreadRequestBodyClosesTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := dial(t, nil, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 		c.send("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n")
-		response, _ := c.answer()
+		response, _ := c.readResponse()
 		must.True(t, response.Close)
 	})
 }
 
-// What another program may read in another way is refused, as the first request of
-// a connection and as a later one, and nothing behind it runs.
-func TestAmbiguousRequestsAreRefused(t *testing.T) {
+// Requests that another program may read differently are rejected, as the first request of a
+// connection and as a later one, and no request after them runs.
+func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"two framings":        "POST /bad HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"two lengths":         "POST /bad HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde",
@@ -403,17 +405,17 @@
 						if r.URL.Path != "/good" {
 							bad.Add(1)
 						}
-						sleepy(w, r)
+						respondLater(w, r)
 					})
 					c.send(before + text + "GET /behind HTTP/1.1\r\nHost: x\r\n\r\n")
 					if before != "" {
-						_, body := c.answer()
+						_, body := c.readResponse()
 						must.Eq(t, "/good", body)
 					}
-					response, _ := c.answer()
+					response, _ := c.readResponse()
 					must.Eq(t, http.StatusBadRequest, response.StatusCode)
 					must.True(t, response.Close)
-					c.ended()
+					c.expectEnd()
 					must.Zero(t, bad.Load())
 				})
 			})
@@ -421,19 +423,19 @@
 	}
 }
 
-func TestLongHeaderIsRefused(t *testing.T) {
+func TestLongHeaderIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := dial(t, nil, sleepy)
+		c := dial(t, nil, respondLater)
 		c.send("GET / HTTP/1.1\r\nHost: x\r\nLong: " + strings.Repeat("x", defaultMaxHeaderBytes) + "\r\n\r\n")
-		response, _ := c.answer()
+		response, _ := c.readResponse()
 		must.Eq(t, http.StatusRequestHeaderFieldsTooLarge, response.StatusCode)
 	})
 }
 
-// A connection on which nothing comes is closed: after the time for a header when
-// it is new or has half a header, else after the idle time. A long answer does not
+// A connection that receives nothing is closed: after the header timeout when it is new or in
+// the middle of a header, else after the idle timeout. Waiting for a long response does not
 // count as idle.
-func TestSilentConnectionsEnd(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	for name, step := range map[string]struct {
 		text    string
 		answers int
@@ -446,26 +448,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := dial(t, nil, sleepy)
+				c := dial(t, nil, respondLater)
 				began := time.Now()
 				c.send(step.text)
 				for range step.answers {
-					c.answer()
+					c.readResponse()
 				}
-				c.ended()
+				c.expectEnd()
 				must.Eq(t, step.within, time.Since(began))
 			})
 		})
 	}
 }
 
-// A caller that never reads holds its own connection up and ends with the write
-// deadline of its request.
-func TestCallerThatNeverReads(t *testing.T) {
+// A caller that never reads blocks only its own connection, which fails at the write deadline
+// of its request.
+func TestCallerThatNeverReadsFailsAtTheWriteDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var begun atomic.Int32
 		failed := make(chan error, 4)
-		c := dial(t, func(s *Server) { s.MaxWaiting = 1 }, func(w http.ResponseWriter, _ *http.Request) {
+		c := dial(t, func(s *Server) { s.MaxPendingBytes = 1 }, func(w http.ResponseWriter, _ *http.Request) {
 			begun.Add(1)
 			_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(time.Second))
 			_, err := io.WriteString(w, strings.Repeat("x", 2*writerSize))
@@ -480,8 +482,8 @@
 	})
 }
 
-// Answers without a length go out in chunks, without a body to HEAD.
-func TestFraming(t *testing.T) {
+// Responses without a length are sent in chunks, and HEAD responses without a body.
+func TestResponseFraming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := dial(t, nil, func(w http.ResponseWriter, r *http.Request) {
 			for _, part := range []string{"one ", "two"} {
@@ -490,7 +492,7 @@
 			}
 		})
 		c.get("/a")
-		response, body := c.answer()
+		response, body := c.readResponse()
 		must.Eq(t, []string{"chunked"}, response.TransferEncoding)
 		must.Eq(t, "one two", body)
 		c.send("HEAD /a HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -498,14 +500,14 @@
 		must.NoError(t, err)
 		must.Zero(t, len(response.TransferEncoding))
 		c.get("/a")
-		_, body = c.answer()
+		_, body = c.readResponse()
 		must.Eq(t, "one two", body)
 	})
 }
 
-// Close ends listeners, connections and what runs on them.
-func TestCloseEndsEverything(t *testing.T) {
-	server := &Server{Handler: http.HandlerFunc(sleepy), Logger: logging.Discard()}
+// Close closes listeners and connections and cancels requests in flight.
+func TestCloseStopsListenersAndConnections(t *testing.T) {
+	server := &Server{Handler: http.HandlerFunc(respondLater), Logger: logging.Discard()}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	ended := make(chan error, 1)
@@ -521,36 +523,36 @@
 	must.Error(t, err)
 }
 
-// watchedConn tells when it is closed first.
-type watchedConn struct {
+// closeHookConn calls closed before each Close.
+type closeHookConn struct {
 	net.Conn
 	closed func()
 }
 
-func (c *watchedConn) Close() error {
+func (c *closeHookConn) Close() error {
 	c.closed()
 	return c.Conn.Close()
 }
 
-// A connection that is cut is closed before what runs on it ends: else a handler that
-// ends early could still send an answer that stands for nothing.
-func TestCutClosesBeforeItCancels(t *testing.T) {
+// An aborted connection is closed before its requests are cancelled: otherwise a handler that
+// returns early could still send a response that reflects only the cancellation.
+func TestAbortClosesBeforeItCancels(t *testing.T) {
 	running := make(chan context.Context, 1)
 	server := &Server{Logger: logging.Discard(), Handler: http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 		running <- request.Context()
 		<-request.Context().Done()
 	})}
-	listener := &network{conns: make(chan net.Conn), closed: make(chan struct{})}
+	listener := &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	go func() { _ = server.Serve(listener) }()
-	near, far := net.Pipe()
+	client, serverEnd := net.Pipe()
 	var request context.Context
 	atClose := make(chan error, 1)
-	listener.conns <- &watchedConn{Conn: far, closed: sync.OnceFunc(func() { atClose <- request.Err() })}
-	_, err := io.WriteString(near, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
+	listener.conns <- &closeHookConn{Conn: serverEnd, closed: sync.OnceFunc(func() { atClose <- request.Err() })}
+	_, err := io.WriteString(client, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
 	must.NoError(t, err)
 	request = <-running
 	must.NoError(t, server.Close())
 	must.NoError(t, <-atClose)
-	_, err = near.Read(make([]byte, 1))
+	_, err = client.Read(make([]byte, 1))
 	must.Error(t, err)
 }
--- a/internal/httpserver/stream_fuzz_test.go
+++ b/internal/httpserver/stream_fuzz_test.go
@@ -16,56 +16,56 @@
 	"sliphead/internal/logging"
 )
 
-// runs notes what a handler was given, with whole bodies only.
-type runs struct {
-	mutex sync.Mutex
-	seen  []string
+// recorder records the requests that a handler was given, only those with complete bodies.
+type recorder struct {
+	mutex    sync.Mutex
+	requests []string
 }
 
-func (r *runs) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (r *recorder) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.seen = append(r.seen, fmt.Sprintf("%s %s %s %q", request.Method, request.Host, request.RequestURI, body))
+	r.requests = append(r.requests, fmt.Sprintf("%s %s %s %q", request.Method, request.Host, request.RequestURI, body))
 	_, _ = writer.Write(body)
 }
 
-// carry sends bytes on one connection, leaves when nothing moves any more and returns
-// what ran. It is called within a bubble of synctest.
-func carry(t *testing.T, serve func(net.Listener, http.Handler) io.Closer, text []byte) []string {
-	listener := &network{conns: make(chan net.Conn), closed: make(chan struct{})}
-	ran := &runs{}
+// exchange sends bytes on one connection, disconnects when all goroutines are blocked and
+// returns the requests that ran. It is called within a synctest bubble.
+func exchange(t *testing.T, serve func(net.Listener, http.Handler) io.Closer, text []byte) []string {
+	listener := &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+	ran := &recorder{}
 	server := serve(listener, ran)
 	defer server.Close()
-	near, far := net.Pipe()
-	listener.conns <- far
-	go func() { _, _ = io.Copy(io.Discard, near) }()
-	_, _ = near.Write(text)
-	synctest.Wait() // until all that is to run has run: a caller that leaves earlier ends the rest
-	_ = near.Close()
+	client, serverEnd := net.Pipe()
+	listener.conns <- serverEnd
+	go func() { _, _ = io.Copy(io.Discard, client) }()
+	_, _ = client.Write(text)
+	synctest.Wait() // until all requests have run: disconnecting earlier would cancel the rest
+	_ = client.Close()
 	synctest.Wait()
 	ran.mutex.Lock()
 	defer ran.mutex.Unlock()
-	return slices.Clone(ran.seen)
+	return slices.Clone(ran.requests)
 }
 
-func serveOwn(listener net.Listener, handler http.Handler) io.Closer {
+func startServer(listener net.Listener, handler http.Handler) io.Closer {
 	server := &Server{Handler: handler, Logger: logging.Discard()}
 	go func() { _ = server.Serve(listener) }()
 	return server
 }
 
-func serveByLibrary(listener net.Listener, handler http.Handler) io.Closer {
+func startNetHTTP(listener net.Listener, handler http.Handler) io.Closer {
 	server := &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = server.Serve(listener) }()
 	return server
 }
 
-// FuzzStream holds the server against that of net/http: whatever comes, it runs
-// what that one runs, in that order, or less.
+// FuzzStream compares the server with that of net/http: on any input it runs the same requests
+// in the same order, or a prefix of them.
 func FuzzStream(f *testing.F) {
 	for _, text := range []string{
 		"GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -84,8 +84,8 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var own, library []string
-		synctest.Test(t, func(t *testing.T) { own = carry(t, serveOwn, text) })
-		synctest.Test(t, func(t *testing.T) { library = carry(t, serveByLibrary, text) })
+		synctest.Test(t, func(t *testing.T) { own = exchange(t, startServer, text) })
+		synctest.Test(t, func(t *testing.T) { library = exchange(t, startNetHTTP, text) })
 		must.LessEq(t, len(library), len(own))
 		for index := range own {
 			must.Eq(t, library[index], own[index])
--- a/internal/httpserver/watch.go
+++ b/internal/httpserver/watch.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// isBodyUnasked reports whether the caller waits to be asked for the body of the last
-// request, and has sent nothing of it. The mutex is held.
-func (c *connection) isBodyUnasked() bool {
+// isContinuePending reports whether the caller of the last request waits for 100 Continue and
+// has sent no byte of the body. The mutex must be held.
+func (c *connection) isContinuePending() bool {
 	if len(c.queue) == 0 {
 		return false
 	}
 	body := c.queue[len(c.queue)-1].body
-	return body != nil && body.awaited && c.reader.Buffered() == 0
+	return body != nil && body.expectsContinue && c.reader.Buffered() == 0
 }
 
-// watchUnasked watches for the caller's leaving until it is asked for its body, and then
-// ends the request. Else a request that waits for a slot kept its place in the queue of a
-// busy worker to its deadline, 19 s in place of none, after its caller had left. It
-// reports false when the caller has left.
-func (c *connection) watchUnasked() bool {
+// watchUntilContinue detects a caller that disconnects before 100 Continue is sent, and then
+// cancels its request. Without this, a request that waited for a slot of a busy worker stayed
+// in the queue until its deadline, 19 s after its caller had disconnected. It reports false
+// when the caller has disconnected.
+func (c *connection) watchUntilContinue() bool {
 	c.mutex.Lock()
-	if !c.isBodyUnasked() {
+	if !c.isContinuePending() {
 		c.mutex.Unlock()
 		return true
 	}
-	c.idling = true
+	c.readerIdle = true
 	_ = c.conn.SetReadDeadline(time.Time{})
 	c.mutex.Unlock()
 	_, err := c.reader.Peek(1)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.idling = false
+	c.readerIdle = false
 	c.changed.Broadcast()
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return true
@@ -42,26 +42,27 @@
 	return false
 }
 
-// stopWatching returns when the reader has left the connection to the body. The mutex is held.
-func (c *connection) stopWatching() {
-	for c.idling {
+// interruptIdleRead returns when the connection's reader has stopped reading, so that the body
+// can be read. The mutex must be held.
+func (c *connection) interruptIdleRead() {
+	for c.readerIdle {
 		_ = c.conn.SetReadDeadline(time.Unix(1, 0)) // wakes the reader
 		c.changed.Wait()
 	}
 }
 
-// watch waits until the requests that were taken are answered, and ends them when
-// the caller leaves.
-func (c *connection) watch() {
-	if c.outstanding() && c.context.Err() == nil {
-		c.startIdling(time.Time{})
-		if c.outstanding() { // else the answer that ended them all came before
+// awaitResponses waits until the accepted requests have their responses, and cancels them when
+// the caller disconnects.
+func (c *connection) awaitResponses() {
+	if c.hasOutstanding() && c.context.Err() == nil {
+		c.beginIdleRead(time.Time{})
+		if c.hasOutstanding() { // else the last response completed before the read began
 			_, err := c.reader.Peek(1)
 			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				c.cancel()
 			}
 		}
-		c.stopIdling()
+		c.endIdleRead()
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -70,13 +71,14 @@
 	}
 }
 
-// outstanding reports whether requests run whose bodies are not being read.
-func (c *connection) outstanding() bool {
+// hasOutstanding reports whether requests are in flight and none of their bodies is being
+// read.
+func (c *connection) hasOutstanding() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.queue) == 0 {
 		return false
 	}
 	last := c.queue[len(c.queue)-1]
-	return last.body == nil || last.body.done
+	return last.body == nil || last.body.consumed
 }
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -30,7 +30,7 @@
 	server := traffic.NewServer(limit.guard(l.handler), l.limits)
 	server.Safe = l.safe
 	if l.rejectClosing != nil {
-		server.Behind = l.rejectClosing
+		server.RejectClosing = l.rejectClosing
 	}
 	server.Logger = l.options.Logger
 	return serveUntil(ctx, l.address, server, func(plain net.Listener) net.Listener {
