--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -80,11 +80,11 @@
 func (r *requests) newWatcher() *worker.Watcher {
 	configured := r.node.settings.Worker
 	return worker.NewWatcher(worker.Config{
-		Name:       configured.Name,
-		URL:        "http://" + configured.Address + configured.HealthPath,
-		Thresholds: worker.Thresholds{Interval: configured.HealthInterval.Duration},
-		OnState:    r.reportState,
-		Logger:     r.node.options.Logger,
+		Name:          configured.Name,
+		URL:           "http://" + configured.Address + configured.HealthPath,
+		Thresholds:    worker.Thresholds{Interval: configured.HealthInterval.Duration},
+		OnStateChange: r.reportState,
+		Logger:        r.node.options.Logger,
 	})
 }
 
--- a/internal/worker/health.go
+++ b/internal/worker/health.go
@@ -1,6 +1,5 @@
-// Package worker watches the back end beside a node. What its health endpoint
-// says is a hint that may lag or lie; what the node's own requests meet
-// outweighs it.
+// Package worker monitors the back end beside a node. The reports of its health endpoint are
+// hints that may be late or false; the results of the node's own requests take precedence.
 package worker
 
 import (
@@ -9,48 +8,48 @@
 	"sliphead/internal/wire"
 )
 
-// Observation is one thing seen of the worker.
+// Observation is the result of one probe or request.
 type Observation string
 
 // The observations.
 const (
-	ProbeReady       Observation = "probe-ready"       // health says that it takes requests
-	ProbeStarting    Observation = "probe-starting"    // health says that it does not yet, or fails
-	ProbeDraining    Observation = "probe-draining"    // health says that it takes no new requests any more
-	ProbeUnreachable Observation = "probe-unreachable" // no connection, or no answer in time
-	TrafficSucceeded Observation = "traffic-succeeded" // a request got its whole answer
-	TrafficFailed    Observation = "traffic-failed"    // a request got none: no connection, or broken off
+	ProbeReady       Observation = "probe-ready"       // the health endpoint reports that the worker accepts requests
+	ProbeStarting    Observation = "probe-starting"    // it reports that the worker does not accept requests yet, or an error
+	ProbeDraining    Observation = "probe-draining"    // it reports that the worker accepts no new requests
+	ProbeUnreachable Observation = "probe-unreachable" // no connection, or no response within the timeout
+	TrafficSucceeded Observation = "traffic-succeeded" // a request got a complete response
+	TrafficFailed    Observation = "traffic-failed"    // a request got no complete response: no connection, or one that broke
 )
 
-// minInterval is the least time between probes: one may cost the worker 6 ms.
+// minInterval is the minimum time between probes: one may cost the worker 6 ms.
 const minInterval = time.Second
 
-// Thresholds tune the hysteresis. A zero field takes its default.
+// Thresholds configure the hysteresis. Zero fields take their defaults.
 type Thresholds struct {
-	Interval       time.Duration // between probes; default and least 1 s
-	Up             int           // agreeing probes before ready; default 2
-	Down           int           // disagreeing probes before not ready; default 3
-	TrafficDown    int           // failed requests in a row before not ready; default 5
-	TrafficFresh   time.Duration // how long a success outweighs the probes; default 5 s
-	GoneAfter      time.Duration // unreachable for so long: gone; default 10 s
-	HoldBase       time.Duration // least time out of service, doubled with each fall; default 1 s
-	HoldMax        time.Duration // default 30 s
-	SettledAfter   time.Duration // ready for so long: the hold starts anew; default 1 min
-	ProbesWithheld int           // probes left out in a row while traffic shows the worker alive; default 4
-	ProbeTimeout   time.Duration // default 1 s
+	Interval           time.Duration // time between probes; default and minimum 1 s
+	ProbesToReady      int           // consecutive probes that report ready, or draining, before that state; default 2
+	ProbesToUnready    int           // consecutive failed probes before not ready; default 3
+	FailuresToUnready  int           // consecutive failed requests before not ready; default 5
+	TrafficValidity    time.Duration // how long a successful request outweighs failed probes; default 5 s
+	GoneAfter          time.Duration // time unreachable after which the worker counts as gone; default 10 s
+	BaseEjectionTime   time.Duration // ejection time after the first ejection, doubled with each further one; default 1 s
+	MaxEjectionTime    time.Duration // maximum ejection time; default 30 s
+	EjectionResetAfter time.Duration // time ready after which the ejection time starts from its base again; default 1 min
+	MaxSkippedProbes   int           // maximum consecutive probes skipped while requests succeed; default 4
+	ProbeTimeout       time.Duration // default 1 s
 }
 
 // withDefaults fills the zero fields.
 func (t Thresholds) withDefaults() Thresholds {
 	t.Interval = max(t.Interval, minInterval)
-	for field, value := range map[*int]int{&t.Up: 2, &t.Down: 3, &t.TrafficDown: 5, &t.ProbesWithheld: 4} {
+	for field, value := range map[*int]int{&t.ProbesToReady: 2, &t.ProbesToUnready: 3, &t.FailuresToUnready: 5, &t.MaxSkippedProbes: 4} {
 		if *field == 0 {
 			*field = value
 		}
 	}
 	for field, value := range map[*time.Duration]time.Duration{
-		&t.TrafficFresh: 5 * time.Second, &t.GoneAfter: 10 * time.Second, &t.HoldBase: time.Second,
-		&t.HoldMax: 30 * time.Second, &t.SettledAfter: time.Minute, &t.ProbeTimeout: time.Second,
+		&t.TrafficValidity: 5 * time.Second, &t.GoneAfter: 10 * time.Second, &t.BaseEjectionTime: time.Second,
+		&t.MaxEjectionTime: 30 * time.Second, &t.EjectionResetAfter: time.Minute, &t.ProbeTimeout: time.Second,
 	} {
 		if *field == 0 {
 			*field = value
@@ -59,41 +58,41 @@
 	return t
 }
 
-// HealthTracker decides the state of a worker from observations, with hysteresis:
-// see Thresholds. It is pure: time is
-// passed in.
+// HealthTracker derives the state of a worker from observations, with hysteresis (see
+// Thresholds). It has no clock: time is passed in. It is not safe for concurrent use.
 type HealthTracker struct {
 	thresholds Thresholds
 	state      wire.EndpointState
-	since      time.Time // of the state
-
-	hint      Observation // last probe
-	agreeing  int         // probes in a row with that hint
-	reached   time.Time   // last sign of life
-	succeeded time.Time   // last traffic success
-	failed    int         // traffic failures in a row
-	falls     int         // falls from ready not yet forgiven
-	heldUntil time.Time   // not ready before
-	withheld  int         // probes left out in a row
+	since      time.Time // start of the current state
+
+	lastProbe     Observation // result of the last probe
+	sameProbes    int         // consecutive probes with that result
+	lastReached   time.Time   // last time that the worker responded
+	lastSuccess   time.Time   // last successful request
+	failures      int         // consecutive failed requests
+	ejections     int         // changes from ready to another state since the last reset
+	ejectedUntil  time.Time   // the worker is not ready before this time
+	skippedProbes int         // consecutive probes skipped
 }
 
-// NewHealthTracker returns the tracker of a worker of which nothing is known.
+// NewHealthTracker returns the tracker of a worker without observations, in the state
+// starting.
 func NewHealthTracker(thresholds Thresholds, now time.Time) *HealthTracker {
-	return &HealthTracker{thresholds: thresholds.withDefaults(), state: wire.EndpointStarting, since: now, reached: now}
+	return &HealthTracker{thresholds: thresholds.withDefaults(), state: wire.EndpointStarting, since: now, lastReached: now}
 }
 
-// State returns the state decided last.
+// State returns the current state.
 func (h *HealthTracker) State() wire.EndpointState { return h.state }
 
-// Step takes in an observation and returns the state of the worker.
+// Step applies an observation and returns the resulting state.
 func (h *HealthTracker) Step(observation Observation, now time.Time) wire.EndpointState {
 	switch observation {
 	case TrafficSucceeded:
-		h.succeeded, h.reached, h.failed = now, now, 0
+		h.lastSuccess, h.lastReached, h.failures = now, now, 0
 	case TrafficFailed:
-		h.failed++
+		h.failures++
 	default:
-		h.noteProbe(observation, now)
+		h.recordProbe(observation, now)
 	}
 	if next := h.decide(now); next != h.state {
 		h.enter(next, now)
@@ -101,86 +100,86 @@
 	return h.state
 }
 
-// noteProbe counts probes that agree.
-func (h *HealthTracker) noteProbe(hint Observation, now time.Time) {
-	if hint != h.hint {
-		h.hint, h.agreeing = hint, 0
+// recordProbe counts consecutive probes with the same result.
+func (h *HealthTracker) recordProbe(result Observation, now time.Time) {
+	if result != h.lastProbe {
+		h.lastProbe, h.sameProbes = result, 0
 	}
-	h.agreeing++
-	if hint != ProbeUnreachable {
-		h.reached = now
+	h.sameProbes++
+	if result != ProbeUnreachable {
+		h.lastReached = now
 	}
 }
 
-// decide returns the state that the observations speak for.
+// decide returns the next state.
 func (h *HealthTracker) decide(now time.Time) wire.EndpointState {
 	if h.state == wire.EndpointReady {
 		return h.decideReady(now)
 	}
-	if h.hint == ProbeUnreachable && now.Sub(h.reached) >= h.thresholds.GoneAfter {
+	if h.lastProbe == ProbeUnreachable && now.Sub(h.lastReached) >= h.thresholds.GoneAfter {
 		return wire.EndpointGone
 	}
-	if h.hint == ProbeDraining && h.agreeing >= h.thresholds.Up {
+	if h.lastProbe == ProbeDraining && h.sameProbes >= h.thresholds.ProbesToReady {
 		return wire.EndpointDraining
 	}
-	if h.hint == ProbeReady && h.agreeing >= h.thresholds.Up && !now.Before(h.heldUntil) {
+	if h.lastProbe == ProbeReady && h.sameProbes >= h.thresholds.ProbesToReady && !now.Before(h.ejectedUntil) {
 		return wire.EndpointReady
 	}
-	if h.state == wire.EndpointGone && h.hint != ProbeUnreachable {
+	if h.state == wire.EndpointGone && h.lastProbe != ProbeUnreachable {
 		return wire.EndpointStarting
 	}
 	return h.state
 }
 
-// decideReady returns the next state of a ready worker. Draining is taken from
-// the health endpoint alone, as keeping requests away errs on the safe side;
-// any other doubt must not be contradicted by traffic.
+// decideReady returns the next state of a ready worker. Draining is accepted from the health
+// endpoint alone, since withholding requests is the safe error; any other negative report
+// counts only if no request succeeded recently.
 func (h *HealthTracker) decideReady(now time.Time) wire.EndpointState {
-	if h.hint == ProbeDraining && h.agreeing >= h.thresholds.Up {
+	if h.lastProbe == ProbeDraining && h.sameProbes >= h.thresholds.ProbesToReady {
 		return wire.EndpointDraining
 	}
-	if h.failed >= h.thresholds.TrafficDown {
+	if h.failures >= h.thresholds.FailuresToUnready {
 		return wire.EndpointStarting
 	}
-	doubted := (h.hint == ProbeStarting || h.hint == ProbeUnreachable) && h.agreeing >= h.thresholds.Down
-	if doubted && !h.trafficFresh(now) {
+	unhealthy := (h.lastProbe == ProbeStarting || h.lastProbe == ProbeUnreachable) && h.sameProbes >= h.thresholds.ProbesToUnready
+	if unhealthy && !h.hasRecentSuccess(now) {
 		return wire.EndpointStarting
 	}
 	return wire.EndpointReady
 }
 
-// trafficFresh reports whether a request succeeded lately.
-func (h *HealthTracker) trafficFresh(now time.Time) bool {
-	return !h.succeeded.IsZero() && now.Sub(h.succeeded) < h.thresholds.TrafficFresh
+// hasRecentSuccess reports whether a request succeeded within TrafficValidity.
+func (h *HealthTracker) hasRecentSuccess(now time.Time) bool {
+	return !h.lastSuccess.IsZero() && now.Sub(h.lastSuccess) < h.thresholds.TrafficValidity
 }
 
-// enter changes the state. Each fall from ready holds the worker out for
-// longer, so that a health endpoint that lies cannot make it flap.
+// enter changes the state. Each change from ready ejects the worker for longer, so that a
+// health endpoint with false reports can't make it flap.
 func (h *HealthTracker) enter(next wire.EndpointState, now time.Time) {
 	if h.state == wire.EndpointReady {
-		if now.Sub(h.since) >= h.thresholds.SettledAfter {
-			h.falls = 0
+		if now.Sub(h.since) >= h.thresholds.EjectionResetAfter {
+			h.ejections = 0
 		}
-		hold := h.thresholds.HoldMax
-		if h.falls < 16 {
-			hold = min(hold, h.thresholds.HoldBase<<h.falls)
+		ejection := h.thresholds.MaxEjectionTime
+		if h.ejections < 16 {
+			ejection = min(ejection, h.thresholds.BaseEjectionTime<<h.ejections)
 		}
-		h.falls++
-		h.heldUntil = now.Add(hold)
-		h.agreeing = 0
+		h.ejections++
+		h.ejectedUntil = now.Add(ejection)
+		h.sameProbes = 0
 	}
-	h.state, h.since, h.failed = next, now, 0
+	h.state, h.since, h.failures = next, now, 0
 }
 
-// ProbeDue reports whether the next probe is to be sent, and notes that it is.
-// It is asked once an interval. While traffic shows the worker alive most
-// probes are left out, as they cost the worker time.
+// ProbeDue reports whether the next probe is to be sent, and counts it as sent or skipped. It
+// is called once per interval. While requests succeed most probes are skipped, since they cost
+// the worker time.
 func (h *HealthTracker) ProbeDue(now time.Time) bool {
-	alive := h.state == wire.EndpointReady && now.Sub(h.succeeded) < h.thresholds.Interval && h.hint == ProbeReady
-	if alive && h.withheld < h.thresholds.ProbesWithheld {
-		h.withheld++
+	alive := h.state == wire.EndpointReady && now.Sub(h.lastSuccess) < h.thresholds.Interval && h.lastProbe == ProbeReady
+	if alive && h.skippedProbes < h.thresholds.MaxSkippedProbes {
+		h.skippedProbes++
 		return false
 	}
-	h.withheld = 0
+	h.skippedProbes = 0
 	return true
 }
--- a/internal/worker/health_test.go
+++ b/internal/worker/health_test.go
@@ -23,25 +23,25 @@
 	goleak.VerifyTestMain(m)
 }
 
-// trial steps a tracker through virtual seconds.
-type trial struct {
-	health *HealthTracker
-	now    time.Time
-	rises  int // changes to ready
+// simulation steps a tracker through virtual seconds.
+type simulation struct {
+	health     *HealthTracker
+	now        time.Time
+	readyCount int // changes to ready
 }
 
-func newTrial() *trial {
+func newSimulation() *simulation {
 	start := time.Unix(1e9, 0)
-	return &trial{health: NewHealthTracker(Thresholds{}, start), now: start}
+	return &simulation{health: NewHealthTracker(Thresholds{}, start), now: start}
 }
 
-// after lets time go by and steps through observations one second apart.
-func (r *trial) after(wait time.Duration, observations ...Observation) wire.EndpointState {
+// observe lets time pass and then applies observations one second apart.
+func (r *simulation) observe(wait time.Duration, observations ...Observation) wire.EndpointState {
 	r.now = r.now.Add(wait)
 	for _, observation := range observations {
 		before := r.health.State()
 		if r.health.Step(observation, r.now) == wire.EndpointReady && before != wire.EndpointReady {
-			r.rises++
+			r.readyCount++
 		}
 		r.now = r.now.Add(time.Second)
 	}
@@ -49,71 +49,71 @@
 }
 
 func TestHealthTracker(t *testing.T) {
-	const ok, bad, drain, none = ProbeReady, ProbeStarting, ProbeDraining, ProbeUnreachable
-	const won, lost = TrafficSucceeded, TrafficFailed
+	const ready, starting, draining, unreachable = ProbeReady, ProbeStarting, ProbeDraining, ProbeUnreachable
+	const success, failure = TrafficSucceeded, TrafficFailed
 	for name, test := range map[string]struct {
 		observed []Observation
 		want     wire.EndpointState
 	}{
-		"nothing known":                  {nil, wire.EndpointStarting},
-		"one good probe is not enough":   {[]Observation{ok}, wire.EndpointStarting},
-		"two good probes":                {[]Observation{ok, ok}, wire.EndpointReady},
-		"traffic alone is no readiness":  {[]Observation{won, won, won}, wire.EndpointStarting},
-		"two bad probes are a glitch":    {[]Observation{ok, ok, bad, bad, ok}, wire.EndpointReady},
-		"three bad probes":               {[]Observation{ok, ok, bad, bad, bad}, wire.EndpointStarting},
-		"bad probes against traffic":     {[]Observation{ok, ok, bad, won, bad, won, bad, won, bad, bad}, wire.EndpointReady},
-		"bad probes after old traffic":   {[]Observation{ok, ok, won, bad, bad, bad, bad, bad, bad}, wire.EndpointStarting},
-		"good probes against traffic":    {[]Observation{ok, ok, ok, lost, ok, lost, ok, lost, ok, lost, ok, lost}, wire.EndpointStarting},
-		"failures with a success":        {[]Observation{ok, ok, lost, lost, lost, lost, won, lost, lost, lost, lost}, wire.EndpointReady},
-		"draining against traffic":       {[]Observation{ok, ok, won, drain, won, drain, won}, wire.EndpointDraining},
-		"one draining probe is a glitch": {[]Observation{ok, ok, drain, ok}, wire.EndpointReady},
-		"draining while starting":        {[]Observation{drain, drain}, wire.EndpointDraining},
-		"unreachable is not yet gone":    {[]Observation{ok, ok, none, none, none, none}, wire.EndpointStarting},
-		"unreachable for long":           {[]Observation{ok, ok, none, none, none, none, none, none, none, none, none, none}, wire.EndpointGone},
-		"gone comes back to starting":    {[]Observation{none, none, none, none, none, none, none, none, none, none, none, bad}, wire.EndpointStarting},
+		"no observations":                   {nil, wire.EndpointStarting},
+		"one good probe is not enough":      {[]Observation{ready}, wire.EndpointStarting},
+		"two good probes":                   {[]Observation{ready, ready}, wire.EndpointReady},
+		"traffic alone does not make ready": {[]Observation{success, success, success}, wire.EndpointStarting},
+		"two bad probes are a glitch":       {[]Observation{ready, ready, starting, starting, ready}, wire.EndpointReady},
+		"three bad probes":                  {[]Observation{ready, ready, starting, starting, starting}, wire.EndpointStarting},
+		"bad probes against traffic":        {[]Observation{ready, ready, starting, success, starting, success, starting, success, starting, starting}, wire.EndpointReady},
+		"bad probes after old traffic":      {[]Observation{ready, ready, success, starting, starting, starting, starting, starting, starting}, wire.EndpointStarting},
+		"good probes against traffic":       {[]Observation{ready, ready, ready, failure, ready, failure, ready, failure, ready, failure, ready, failure}, wire.EndpointStarting},
+		"failures with a success":           {[]Observation{ready, ready, failure, failure, failure, failure, success, failure, failure, failure, failure}, wire.EndpointReady},
+		"draining against traffic":          {[]Observation{ready, ready, success, draining, success, draining, success}, wire.EndpointDraining},
+		"one draining probe is a glitch":    {[]Observation{ready, ready, draining, ready}, wire.EndpointReady},
+		"draining while starting":           {[]Observation{draining, draining}, wire.EndpointDraining},
+		"unreachable is not yet gone":       {[]Observation{ready, ready, unreachable, unreachable, unreachable, unreachable}, wire.EndpointStarting},
+		"unreachable for long":              {[]Observation{ready, ready, unreachable, unreachable, unreachable, unreachable, unreachable, unreachable, unreachable, unreachable, unreachable, unreachable}, wire.EndpointGone},
+		"gone returns to starting":          {[]Observation{unreachable, unreachable, unreachable, unreachable, unreachable, unreachable, unreachable, unreachable, unreachable, unreachable, unreachable, starting}, wire.EndpointStarting},
 	} {
-		must.Eq(t, test.want, newTrial().after(0, test.observed...), must.Sprint(name))
+		must.Eq(t, test.want, newSimulation().observe(0, test.observed...), must.Sprint(name))
 	}
 }
 
-// A health endpoint that says ready while every request fails must not make
-// the worker flap: each fall holds it out for longer.
-func TestLyingHealthDoesNotFlap(t *testing.T) {
-	run := newTrial()
+// A health endpoint that reports ready while every request fails must not make the worker
+// flap: each change from ready ejects it for longer.
+func TestFalseReadyReportsDoNotCauseFlapping(t *testing.T) {
+	run := newSimulation()
 	for end := run.now.Add(10 * time.Minute); run.now.Before(end); {
-		run.after(0, ProbeReady)
+		run.observe(0, ProbeReady)
 		if run.health.State() == wire.EndpointReady {
-			run.after(0, TrafficFailed, TrafficFailed, TrafficFailed, TrafficFailed, TrafficFailed)
+			run.observe(0, TrafficFailed, TrafficFailed, TrafficFailed, TrafficFailed, TrafficFailed)
 		}
 	}
-	must.Between(t, 5, run.rises, 25)
-	run.after(0, ProbeReady, ProbeReady)
-	run.after(time.Hour, ProbeReady, ProbeReady)
+	must.Between(t, 5, run.readyCount, 25)
+	run.observe(0, ProbeReady, ProbeReady)
+	run.observe(time.Hour, ProbeReady, ProbeReady)
 	must.Eq(t, wire.EndpointReady, run.health.State())
-	run.after(2*time.Minute, TrafficFailed, TrafficFailed, TrafficFailed, TrafficFailed, TrafficFailed)
-	must.Eq(t, wire.EndpointReady, run.after(0, ProbeReady, ProbeReady), must.Sprint("a long good time is forgiven"))
+	run.observe(2*time.Minute, TrafficFailed, TrafficFailed, TrafficFailed, TrafficFailed, TrafficFailed)
+	must.Eq(t, wire.EndpointReady, run.observe(0, ProbeReady, ProbeReady), must.Sprint("a long time ready resets the ejection time"))
 }
 
-// Health that says draining is believed within two probes, whatever else is
-// seen, and a worker that it never called ready is never ready.
-func TestHealthTrackerHoldsForAnyObservations(t *testing.T) {
+// Two probes that report draining always lead to draining, whatever was observed before, and a
+// worker never becomes ready without a probe that reported ready.
+func TestHealthTrackerInvariants(t *testing.T) {
 	observations := []Observation{ProbeReady, ProbeStarting, ProbeDraining, ProbeUnreachable, TrafficSucceeded, TrafficFailed}
 	rapid.Check(t, func(t *rapid.T) {
-		run := newTrial()
-		saidReady := false
+		run := newSimulation()
+		reportedReady := false
 		for _, observation := range rapid.SliceOfN(rapid.SampledFrom(observations), 0, 60).Draw(t, "observations") {
-			saidReady = saidReady || observation == ProbeReady
-			run.after(time.Duration(rapid.IntRange(0, 20).Draw(t, "wait"))*time.Second, observation)
+			reportedReady = reportedReady || observation == ProbeReady
+			run.observe(time.Duration(rapid.IntRange(0, 20).Draw(t, "wait"))*time.Second, observation)
 			if run.health.State() == wire.EndpointReady {
-				must.True(t, saidReady)
+				must.True(t, reportedReady)
 			}
 		}
-		must.Eq(t, wire.EndpointDraining, run.after(0, ProbeDraining, ProbeDraining))
+		must.Eq(t, wire.EndpointDraining, run.observe(0, ProbeDraining, ProbeDraining))
 	})
 }
 
-func TestProbesAreLeftOutWhileTrafficFlows(t *testing.T) {
-	run := newTrial()
+func TestProbesAreSkippedWhileRequestsSucceed(t *testing.T) {
+	run := newSimulation()
 	probes := 0
 	for range 60 {
 		if run.health.ProbeDue(run.now) {
--- a/internal/worker/watcher.go
+++ b/internal/worker/watcher.go
@@ -14,27 +14,28 @@
 	"sliphead/internal/wire"
 )
 
-// maxHealthBytes bounds the answer of a health endpoint.
+// maxHealthBytes limits the response of a health endpoint.
 const maxHealthBytes = 4 << 10
 
-// Config says how to watch a worker.
+// Config configures a watcher.
 type Config struct {
-	Name       string
-	URL        string // of the health endpoint
-	Thresholds Thresholds
-	Client     *http.Client             // default: a client of its own
-	OnState    func(wire.EndpointState) // called on each change, one at a time; must not call the watcher
-	Logger     log.Interface            // default discards
+	Name          string
+	URL           string // of the health endpoint
+	Thresholds    Thresholds
+	Client        *http.Client             // nil: the watcher creates one
+	OnStateChange func(wire.EndpointState) // called on each change, one call at a time; must not call the watcher
+	Logger        log.Interface            // nil: no log
 }
 
-// Watcher polls the health endpoint and takes in what traffic meets.
+// Watcher polls the health endpoint and records the results of requests. It is safe for
+// concurrent use.
 type Watcher struct {
 	config Config
 	mutex  sync.Mutex
 	health *HealthTracker
 }
 
-// NewWatcher returns a watcher; Run polls.
+// NewWatcher returns a watcher. It polls only while Run is active.
 func NewWatcher(config Config) *Watcher {
 	config.Thresholds = config.Thresholds.withDefaults()
 	if config.Client == nil {
@@ -46,20 +47,20 @@
 	if config.Logger == nil {
 		config.Logger = logging.Discard()
 	}
-	if config.OnState == nil {
-		config.OnState = func(wire.EndpointState) {}
+	if config.OnStateChange == nil {
+		config.OnStateChange = func(wire.EndpointState) {}
 	}
 	return &Watcher{config: config, health: NewHealthTracker(config.Thresholds, time.Now())}
 }
 
-// State returns the state decided last.
+// State returns the current state.
 func (w *Watcher) State() wire.EndpointState {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.health.State()
 }
 
-// Observe takes in what traffic met. It is safe for concurrent use.
+// Observe records the result of a request.
 func (w *Watcher) Observe(observation Observation) { w.step(observation, time.Now()) }
 
 // Run polls until ctx ends.
@@ -82,14 +83,14 @@
 	}
 }
 
-// probeDue asks the health tracker.
+// probeDue reports whether the next probe is to be sent.
 func (w *Watcher) probeDue() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.health.ProbeDue(time.Now())
 }
 
-// step feeds the health tracker and tells a change.
+// step applies an observation and reports a change of state.
 func (w *Watcher) step(observation Observation, now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -101,16 +102,16 @@
 	logging.Event(w.config.Logger, "worker.state", logging.Fields{
 		"worker": w.config.Name, "from": before, "to": after, "observed": observation,
 	})
-	w.config.OnState(after)
+	w.config.OnStateChange(after)
 }
 
-// health is the optional body of a health endpoint.
-type health struct {
+// healthReport is the optional body of a health endpoint.
+type healthReport struct {
 	State string `json:"state"`
 }
 
-// probe asks the health endpoint once. Status 200 means ready unless the body
-// names another state; any other status means not ready.
+// probe sends one request to the health endpoint. Status 200 means ready unless the body names
+// another state; any other status means not ready.
 func (w *Watcher) probe(ctx context.Context) Observation {
 	ctx, cancel := context.WithTimeout(ctx, w.config.Thresholds.ProbeTimeout)
 	defer cancel()
@@ -130,16 +131,16 @@
 	return interpret(response.StatusCode, body)
 }
 
-// interpret reads a health endpoint's answer.
+// interpret derives the observation from the health endpoint's response.
 func interpret(status int, body []byte) Observation {
-	var said health
-	if err := json.Unmarshal(body, &said); err != nil {
-		said = health{}
+	var report healthReport
+	if err := json.Unmarshal(body, &report); err != nil {
+		report = healthReport{}
 	}
 	switch {
-	case said.State == string(wire.EndpointDraining):
+	case report.State == string(wire.EndpointDraining):
 		return ProbeDraining
-	case status != http.StatusOK, said.State == string(wire.EndpointStarting):
+	case status != http.StatusOK, report.State == string(wire.EndpointStarting):
 		return ProbeStarting
 	}
 	return ProbeReady
--- a/internal/worker/watcher_test.go
+++ b/internal/worker/watcher_test.go
@@ -16,11 +16,11 @@
 	"sliphead/internal/wire"
 )
 
-type trip func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f trip) RoundTrip(request *http.Request) (*http.Response, error) { return f(request) }
+func (f roundTripFunc) RoundTrip(request *http.Request) (*http.Response, error) { return f(request) }
 
-func TestWatcherFollowsTheWorker(t *testing.T) {
+func TestWatcherTracksTheWorkersState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var body atomic.Value
 		var probes atomic.Int64
@@ -28,7 +28,7 @@
 		var states []wire.EndpointState
 		watcher := NewWatcher(Config{
 			Name: "storefront-1", URL: "http://127.0.0.1:8000/health", Thresholds: Thresholds{Interval: time.Millisecond},
-			Client: &http.Client{Transport: trip(func(request *http.Request) (*http.Response, error) {
+			Client: &http.Client{Transport: roundTripFunc(func(request *http.Request) (*http.Response, error) {
 				probes.Add(1)
 				text := body.Load().(string)
 				if text == "hang" {
@@ -40,7 +40,7 @@
 				}
 				return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}, nil
 			})},
-			OnState: func(state wire.EndpointState) { states = append(states, state) },
+			OnStateChange: func(state wire.EndpointState) { states = append(states, state) },
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
@@ -48,27 +48,27 @@
 			defer close(ended)
 			watcher.Run(ctx)
 		}()
-		pass := func(wait time.Duration) wire.EndpointState {
+		stateAfter := func(wait time.Duration) wire.EndpointState {
 			time.Sleep(wait)
 			synctest.Wait()
 			return watcher.State()
 		}
-		must.Eq(t, wire.EndpointStarting, pass(5500*time.Millisecond))
-		must.Eq(t, 6, probes.Load(), must.Sprint("no more than one probe a second"))
+		must.Eq(t, wire.EndpointStarting, stateAfter(5500*time.Millisecond))
+		must.Eq(t, 6, probes.Load(), must.Sprint("more than one probe a second"))
 		body.Store("ok")
-		must.Eq(t, wire.EndpointReady, pass(2*time.Second))
+		must.Eq(t, wire.EndpointReady, stateAfter(2*time.Second))
 		body.Store("hang")
-		must.Eq(t, wire.EndpointStarting, pass(5*time.Second))
+		must.Eq(t, wire.EndpointStarting, stateAfter(5*time.Second))
 		body.Store("")
-		must.Eq(t, wire.EndpointGone, pass(20*time.Second))
+		must.Eq(t, wire.EndpointGone, stateAfter(20*time.Second))
 		body.Store(`{"state":"ready"}`)
-		must.Eq(t, wire.EndpointReady, pass(3*time.Second))
+		must.Eq(t, wire.EndpointReady, stateAfter(3*time.Second))
 		for range 5 {
 			watcher.Observe(TrafficFailed)
 		}
 		must.Eq(t, wire.EndpointStarting, watcher.State())
 		body.Store(`{"state":"draining"}`)
-		must.Eq(t, wire.EndpointDraining, pass(3*time.Second))
+		must.Eq(t, wire.EndpointDraining, stateAfter(3*time.Second))
 		cancel()
 		<-ended
 		must.Eq(t, []wire.EndpointState{"ready", "starting", "gone", "starting", "ready", "starting", "draining"}, states)
