--- a/internal/clock/boot_other.go
+++ b/internal/clock/boot_other.go
@@ -6,5 +6,5 @@
 
 var monotonicStart = time.Now()
 
-// sinceBoot is the monotonic clock: suspensions go unseen here.
+// sinceBoot returns the monotonic time: suspensions are not counted on this system.
 func sinceBoot() time.Duration { return time.Since(monotonicStart) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,8 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Differences must not fall back on the monotonic clock, which stands still while a
-// machine is suspended.
+// Differences must not use the monotonic clock, which stops while the machine is suspended.
 func TestReadingsHaveNoMonotonicPart(t *testing.T) {
 	now := Now()
 	must.Eq(t, now.Round(0), now)
@@ -18,77 +17,77 @@
 	must.Less(t, time.Hour, time.Since(now).Abs())
 }
 
-// clockReading is the layout of a time.Time that has a monotonic reading.
+// clockReading has the memory layout of a time.Time with a monotonic reading.
 type clockReading struct {
 	wall      uint64
 	monotonic int64
 	location  *time.Location
 }
 
-// machine is a machine whose clocks a test moves.
-type machine struct {
-	now  time.Time
-	boot time.Duration
-	read int // how often the clock that goes on was read
+// fakeMachine is a machine whose clocks are set by a test.
+type fakeMachine struct {
+	now          time.Time
+	boot         time.Duration
+	bootReadings int // readings of the boot clock
 }
 
-func (m *machine) sinceBoot() time.Duration {
-	m.read++
+func (m *fakeMachine) sinceBoot() time.Duration {
+	m.bootReadings++
 	return m.boot
 }
 
-// runs lets time pass.
-func (m *machine) runs(passed time.Duration) {
+// advance lets time pass.
+func (m *fakeMachine) advance(passed time.Duration) {
 	m.now = m.now.Add(passed)
 	m.boot += passed
 }
 
-// suspends stops the monotonic clock for a time.
-func (m *machine) suspends(passed time.Duration) {
-	m.runs(passed)
+// suspend lets time pass while the monotonic clock is stopped.
+func (m *fakeMachine) suspend(passed time.Duration) {
+	m.advance(passed)
 	(*clockReading)(unsafe.Pointer(&m.now)).monotonic -= int64(passed)
 }
 
-// sets moves the time of day.
-func (m *machine) sets(by time.Duration) {
+// setTimeOfDay moves the wall clock.
+func (m *fakeMachine) setTimeOfDay(by time.Duration) {
 	m.now = m.now.Add(by)
 	(*clockReading)(unsafe.Pointer(&m.now)).monotonic -= int64(by)
 }
 
-// A suspension counts at once, however the time of day is set, and setting it alone
-// changes nothing.
-func TestSuspensionCounts(t *testing.T) {
-	m := &machine{now: time.Now(), boot: time.Hour}
-	r := newReader(m.sinceBoot)
+// A suspension is counted at once, also when the time of day is set, and setting the time of
+// day alone changes nothing.
+func TestSuspensionIsCounted(t *testing.T) {
+	m := &fakeMachine{now: time.Now(), boot: time.Hour}
+	r := newSuspensionClock(m.sinceBoot)
 	r.start = m.now
 	first := r.at(m.now)
 	must.Eq(t, 0, r.at(m.now).Sub(first))
-	m.runs(time.Second)
+	m.advance(time.Second)
 	must.Eq(t, time.Second, r.at(m.now).Sub(first))
-	m.suspends(8 * time.Second)
+	m.suspend(8 * time.Second)
 	must.Eq(t, 9*time.Second, r.at(m.now).Sub(first))
-	m.sets(-time.Hour)
+	m.setTimeOfDay(-time.Hour)
 	must.Eq(t, 9*time.Second, r.at(m.now).Sub(first))
-	m.sets(time.Hour)
-	m.runs(time.Second)
+	m.setTimeOfDay(time.Hour)
+	m.advance(time.Second)
 	must.Eq(t, 10*time.Second, r.at(m.now).Sub(first))
 }
 
-// The clock that goes on costs a system call: it is read once in mostTrust while nothing
-// happens. A suspension that a change of the time of day hides counts after that.
-func TestClockIsReadSeldom(t *testing.T) {
-	m := &machine{now: time.Now(), boot: time.Hour}
-	r := newReader(m.sinceBoot)
+// The boot clock costs a system call, so it is read once per maxBootAge while nothing happens.
+// A suspension that is hidden by setting the time of day is counted after that time.
+func TestBootClockIsReadRarely(t *testing.T) {
+	m := &fakeMachine{now: time.Now(), boot: time.Hour}
+	r := newSuspensionClock(m.sinceBoot)
 	r.start = m.now
 	first := r.at(m.now)
-	before := m.read
+	before := m.bootReadings
 	for range 100 {
-		m.runs(mostTrust / 101)
+		m.advance(maxBootAge / 101)
 		r.at(m.now)
 	}
-	must.Eq(t, before, m.read)
-	m.suspends(8 * time.Second)
-	m.sets(-8 * time.Second)
-	m.runs(mostTrust)
+	must.Eq(t, before, m.bootReadings)
+	m.suspend(8 * time.Second)
+	m.setTimeOfDay(-8 * time.Second)
+	m.advance(maxBootAge)
 	must.Eq(t, m.boot-time.Hour, r.at(m.now).Sub(first))
 }
--- a/internal/liveness/socket_other.go
+++ b/internal/liveness/socket_other.go
@@ -2,6 +2,6 @@
 
 package liveness
 
-// boundUnacknowledged does nothing where sockets have no such bound: probes alone then
-// notice a silent other side.
-func boundUnacknowledged(uintptr) error { return nil }
+// setUnacknowledgedTimeout does nothing on systems whose sockets have no such timeout. There
+// only keep-alive probes detect an unresponsive peer.
+func setUnacknowledgedTimeout(uintptr) error { return nil }
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep holds a wait that a context can end.
+// Package sleep provides a sleep that a context can cancel.
 package sleep
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for a duration and reports whether it passed before ctx ended. A
-// duration of zero or less does not wait.
+// For sleeps for a duration and reports whether it passed before ctx ended. With a duration of
+// zero or less it returns at once.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
