--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -6,16 +6,17 @@
 	"sliphead/internal/fault"
 )
 
-// The bounds of what a peer may send.
+// Limits of the messages that a peer may send.
 const (
-	MaxLineBytes     = 8 << 20 // one message on a stream, newline included
-	MaxDatagramBytes = 1400    // one message by datagram, authentication included
+	MaxLineBytes     = 8 << 20 // one message on a stream, including the newline
+	MaxDatagramBytes = 1400    // one message in a datagram, including authentication
 	MaxNameBytes     = 253     // a node's name, as long as a DNS name
 )
 
 const peerRemedy = "check that the peer runs a compatible version of sliphead and nothing else sends to this address"
 
-// Encode returns the envelope as one line, newline included.
+// Encode returns the envelope as one line, including the newline. It returns an error for an
+// envelope that Decode would reject.
 func Encode(envelope Envelope) ([]byte, error) {
 	if err := envelope.check(); err != nil {
 		return nil, err
@@ -32,8 +33,8 @@
 	return line, nil
 }
 
-// Decode parses one line. It refuses lines that are too long, name no sender
-// or do not hold exactly one message.
+// Decode parses one line. It rejects lines that are too long, name no sender or do not hold
+// exactly one message.
 func Decode(line []byte) (Envelope, error) {
 	if len(line) > MaxLineBytes {
 		return Envelope{}, fault.New(fault.Peer, peerRemedy, "a message has more than %d bytes", MaxLineBytes)
@@ -48,10 +49,10 @@
 	return envelope, nil
 }
 
-// check refuses an envelope without sender or without exactly one message.
+// check rejects an envelope without a sender or without exactly one message.
 func (e *Envelope) check() error {
 	if e.From == "" || len(e.From) > MaxNameBytes {
-		return fault.New(fault.Peer, peerRemedy, "a message has a sender's name of %d bytes, not 1 to %d", len(e.From), MaxNameBytes)
+		return fault.New(fault.Peer, peerRemedy, "the sender's name in a message has %d bytes, not 1 to %d", len(e.From), MaxNameBytes)
 	}
 	if kinds := e.kinds(); len(kinds) != 1 {
 		return fault.New(fault.Peer, peerRemedy, "a message from %q holds %d messages, not one", e.From, len(kinds))
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// Kind returns the JSON name of the message held, "" when there is none.
+// Kind returns the JSON name of the message, "" when there is none.
 func (e *Envelope) Kind() string {
 	if kinds := e.kinds(); len(kinds) > 0 {
 		return kinds[0]
@@ -67,7 +68,7 @@
 	return ""
 }
 
-// kinds returns the JSON names of all messages held.
+// kinds returns the JSON names of all messages in the envelope.
 func (e *Envelope) kinds() []string {
 	kinds := make([]string, 0, 1)
 	add := func(name string, held bool) {
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -11,8 +11,8 @@
 	"sliphead/internal/snapshot"
 )
 
-// each returns one envelope for each kind of message, by the JSON name.
-func each() map[string]Envelope {
+// envelopesByKind returns one envelope for each kind of message, by its JSON name.
+func envelopesByKind() map[string]Envelope {
 	envelopes := make(map[string]Envelope)
 	kind := reflect.TypeFor[Envelope]()
 	for index := range kind.NumField() {
@@ -28,8 +28,8 @@
 	return envelopes
 }
 
-func TestEachMessageReadsBack(t *testing.T) {
-	for name, envelope := range each() {
+func TestEachMessageRoundTrips(t *testing.T) {
+	for name, envelope := range envelopesByKind() {
 		must.Eq(t, name, envelope.Kind())
 		line, err := Encode(envelope)
 		must.NoError(t, err)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsInvalidLines(t *testing.T) {
 	for name, line := range map[string]string{
 		"nothing":         ``,
 		"half":            `{"from":"a","pull":{`,
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestEncodeRefuses(t *testing.T) {
+func TestEncodeRejectsInvalidEnvelopes(t *testing.T) {
 	huge := Envelope{From: "a", Resource: &Resource{Resources: []snapshot.Resource{{Digest: strings.Repeat("a", MaxLineBytes)}}}}
 	for _, envelope := range []Envelope{{}, {From: "a"}, {From: "a", Pull: &Pull{}, Staged: &Staged{}}, huge} {
 		_, err := Encode(envelope)
@@ -69,7 +69,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, envelope := range each() {
+	for _, envelope := range envelopesByKind() {
 		line, err := Encode(envelope)
 		must.NoError(f, err)
 		f.Add(line)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds the typed messages between nodes and their codec: one
-// JSON object a line.
+// Package wire defines the messages between nodes and their encoding: one JSON object per
+// line.
 package wire
 
 import (
@@ -33,47 +33,48 @@
 	ClaimCopy    *ClaimCopy    `json:"claimCopy,omitempty"`
 }
 
-// Outgoing is the effect "send this message". It is carried out by control.
+// Outgoing is the instruction to send a message. Package control carries it out.
 type Outgoing struct {
 	To       string // name of the receiving node, "" when only its address is known
-	Address  string // host:port of its peer listener; "" lets control look the name up
+	Address  string // host:port of its peer listener; "": control looks up the name
 	Datagram bool   // by datagram when true, by stream otherwise
 	Message  Envelope
 }
 
-// Status is what the failure detector believes of a member.
+// Status is the failure detector's state of a member.
 type Status string
 
-// The states of a member. At the same incarnation the later one wins.
+// The states of a member. For equal incarnations the one listed later takes precedence.
 const (
 	StatusAlive   Status = "alive"
 	StatusSuspect Status = "suspect"
-	StatusLeaving Status = "leaving" // said by the member itself
+	StatusLeaving Status = "leaving" // announced by the member itself
 	StatusDead    Status = "dead"
 )
 
-// EndpointState is what a worker's node says of its worker.
+// EndpointState is the state of a worker as its node reports it.
 type EndpointState string
 
 // The states of an endpoint.
 const (
 	EndpointNone     EndpointState = ""         // the node has no worker (an edge)
-	EndpointStarting EndpointState = "starting" // cold: takes no requests
+	EndpointStarting EndpointState = "starting" // takes no requests yet
 	EndpointReady    EndpointState = "ready"
 	EndpointDraining EndpointState = "draining" // takes no new requests, finishes those in flight
 	EndpointGone     EndpointState = "gone"
 )
 
-// Member is a register written by the node it names and repeated by others.
-// The greater (Start, Incarnation) wins; then Sequence decides the endpoint
-// part and the order of Status the rest. In datagrams a register without Peer
-// leaves out the constant part (Zone to Inbound), which the receiver holds.
+// Member is the record of a node, written by that node and relayed by others. Of two records
+// of a node the one with the greater (Start, Incarnation) takes precedence; if these are
+// equal, the greater Sequence decides the endpoint part, and the order of Status the rest. In
+// datagrams a record without Peer omits the constant part (Zone to Inbound), which the
+// receiver already has.
 type Member struct {
 	Name        string        `json:"name"`
 	Zone        string        `json:"zone"`
 	Region      string        `json:"region,omitempty"`
 	Service     string        `json:"service,omitempty"` // "" for an edge
-	Worker      string        `json:"worker,omitempty"`  // declared worker beside this node, "" for an edge
+	Worker      string        `json:"worker,omitempty"`  // declared worker of this node, "" for an edge
 	Peer        string        `json:"peer"`              // host:port, streams and datagrams
 	Inbound     string        `json:"inbound,omitempty"` // host:port for requests from other nodes, "" for an edge
 	Start       int64         `json:"start"`             // start of the process, Unix milliseconds
@@ -83,30 +84,30 @@
 	Sequence    uint64        `json:"seq,omitempty"`
 }
 
-// Digests are what probes and their answers say of their sender's state. Whoever
-// is behind pulls. A zero Staged stands for the Active version.
+// Digests summarize the sender's state in probes and their acknowledgements. A receiver whose
+// state is older pulls. A zero Staged means the Active version.
 type Digests struct {
 	Active version.Version `json:"active,omitzero"` // version in force
-	Staged version.Version `json:"staged,omitzero"` // newest version held whole, in force or not
-	View   uint64          `json:"view,omitempty"`  // hash of the member registers
+	Staged version.Version `json:"staged,omitzero"` // newest version that is complete, in force or not
+	View   uint64          `json:"view,omitempty"`  // hash of the member records
 	Clock  int64           `json:"clock,omitempty"` // wall clock, Unix milliseconds
 }
 
-// Ping asks for an Ack.
+// Ping requests an Ack.
 type Ping struct {
 	Number  uint64   `json:"n"`
 	Digests Digests  `json:"d"`
 	Updates []Member `json:"u,omitempty"`
 }
 
-// PingReq asks the receiver to ping Target and to pass its Ack on.
+// PingReq requests the receiver to ping Target and to relay its Ack.
 type PingReq struct {
 	Number  uint64   `json:"n"`
 	Target  Member   `json:"target"`
 	Updates []Member `json:"u,omitempty"`
 }
 
-// Ack answers a Ping.
+// Ack acknowledges a Ping.
 type Ack struct {
 	Number  uint64   `json:"n"`
 	About   string   `json:"about"` // the node that is alive
@@ -114,8 +115,7 @@
 	Updates []Member `json:"u,omitempty"`
 }
 
-// Gossip spreads changed registers between probes. Its Digests hold the View
-// only.
+// Gossip spreads changed records between probes. Its Digests contain only the View.
 type Gossip struct {
 	Digests Digests  `json:"d"`
 	Updates []Member `json:"u,omitempty"`
@@ -126,15 +126,14 @@
 	Member Member `json:"member"`
 }
 
-// Busy refuses a stream and says when to come back and whom else to ask.
+// Busy rejects a stream. It contains the delay before a retry and other nodes to connect to.
 type Busy struct {
 	RetryAfterMS int64    `json:"retryAfterMs"`
 	Others       []Member `json:"others,omitempty"`
 }
 
-// Sync gives member registers; Reply asks for the receiver's in return. With
-// Buckets, hashes of the sender's view by parts, only the registers of the parts
-// that differ are exchanged.
+// Sync sends member records; Reply requests the receiver's in return. With Buckets, hashes of
+// parts of the sender's view, only the records of the parts that differ are exchanged.
 type Sync struct {
 	Members []Member `json:"members"`
 	Digests Digests  `json:"d"`
@@ -142,36 +141,36 @@
 	Buckets []uint64 `json:"buckets,omitempty"`
 }
 
-// Push carries a version down the tree as a delta.
+// Push sends a version down the distribution tree as a delta.
 type Push struct {
 	Delta snapshot.Delta `json:"delta"`
-	Root  string         `json:"root,omitempty"` // the reader at the root of the tree; "" is a repair, not passed on
+	Root  string         `json:"root,omitempty"` // the reader at the root of the tree; "": a repair, not relayed
 }
 
-// Pull asks for the newest version, against the one that the sender holds.
+// Pull requests the newest version, as a delta against the one that the sender has.
 type Pull struct {
 	Have version.Version `json:"have"`
-	// Missing are resources named by a staged version whose bodies are not held.
+	// Missing are the resources named by a staged version whose bodies the sender lacks.
 	Missing []snapshot.Key `json:"missing,omitempty"`
-	// Number, when set, is given back in an Accepted with the version in force,
-	// so that an answer is told from messages sent before the question.
+	// Number, when set, is returned in an Accepted with the version in force. It distinguishes
+	// the reply from messages sent before the request.
 	Number uint64 `json:"n,omitempty"`
 }
 
-// Staged tells the root that the sender holds a version whole.
+// Staged reports to the root that the sender has a complete version.
 type Staged struct {
 	Version version.Version `json:"version"`
 	Zone    string          `json:"zone"`
 }
 
-// Accepted tells that a version is held by enough members to be in force.
+// Accepted announces that enough members hold a version for it to be in force.
 type Accepted struct {
 	Version version.Version `json:"version"`
-	Root    string          `json:"root,omitempty"` // passed on down this root's tree; "" is a repair
-	Number  uint64          `json:"n,omitempty"`    // of the Pull that this answers
+	Root    string          `json:"root,omitempty"` // relayed down this root's tree; "": a repair
+	Number  uint64          `json:"n,omitempty"`    // of the Pull that this replies to
 }
 
-// Resource carries bodies that were missing.
+// Resource sends bodies that were missing.
 type Resource struct {
 	Resources []snapshot.Resource `json:"resources"`
 }
