--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -37,12 +37,12 @@
 // Discard returns a logger that writes nothing.
 func Discard() *log.Logger { return New(io.Discard, log.FatalLevel) }
 
-// Event logs a named event of the normal course of things.
+// Event logs a named event of normal operation.
 func Event(logger log.Interface, name string, fields Fields) {
 	logger.WithFields(fields).Info(name)
 }
 
-// Problem logs a named event that somebody may have to act on, with its cause.
+// Problem logs a named event that may need an operator's action, with its cause.
 func Problem(logger log.Interface, name string, cause error, fields Fields) {
 	all := Fields{"error": cause}
 	for key, value := range fields {
@@ -60,7 +60,7 @@
 	return err
 }
 
-// appendEntry appends the line of one entry, newline included.
+// appendEntry appends the line of one entry, including the newline.
 func appendEntry(line []byte, entry *log.Entry) []byte {
 	line = appendPair(line, "time", entry.Timestamp.UTC().Format("2006-01-02T15:04:05.000Z"))
 	line = appendPair(line, "level", entry.Level.String())
@@ -102,12 +102,12 @@
 	return fmt.Sprint(value)
 }
 
-// needsQuotes reports whether a value would not read back as one token.
+// needsQuotes reports whether a value must be quoted to be parsed as one token.
 func needsQuotes(value string) bool {
 	return value == "" || strings.ContainsFunc(value, breaksToken)
 }
 
-// breaksToken reports whether a character ends or confuses a token.
+// breaksToken reports whether a character would end a token or make it ambiguous.
 func breaksToken(character rune) bool {
 	switch character {
 	case ' ', '=', '"', '\\', unicode.ReplacementChar:
@@ -116,7 +116,7 @@
 	return !unicode.IsPrint(character)
 }
 
-// cleanKey replaces the characters that a key cannot hold.
+// cleanKey replaces the characters that are not allowed in a key.
 func cleanKey(key string) string {
 	if !needsQuotes(key) {
 		return key
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestOneLineOfSortedPairs(t *testing.T) {
+func TestEventIsOneLineOfSortedPairs(t *testing.T) {
 	var text bytes.Buffer
 	logger := New(&text, log.InfoLevel)
 	Event(logger, "node.started", Fields{"zone": "edappally", "name": "a b", "empty": "", "equal": "a=b", "wait": 1500 * time.Millisecond, "share": 0.25})
@@ -26,7 +26,7 @@
 	must.Eq(t, `level=warn event=peer.lost bad_key="ü\x00" error="line one\nline \"two\""`, second)
 }
 
-func TestConcurrentLinesStayWhole(t *testing.T) {
+func TestConcurrentLinesAreNotInterleaved(t *testing.T) {
 	var text bytes.Buffer
 	logger := New(&text, log.InfoLevel)
 	var group sync.WaitGroup
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -10,70 +10,71 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of a queue.
+// Limits of a queue.
 const (
-	queuedLines    = 2048
-	linesPerSecond = 25  // of one event, over longer times
-	linesAtOnce    = 100 // of one event
-	reportEvery    = time.Second
+	maxQueuedLines = 2048
+	linesPerSecond = 25  // sustained rate of one event
+	lineBurst      = 100 // maximum burst of one event
+	reportInterval = time.Second
 )
 
-// Queue is a handler that never blocks: lines wait for the writer in a bounded
-// queue, and each event has a bounded rate. What is left out is counted, and
-// told by an event of its own.
+// Queue is a handler that never blocks: lines wait for the writer in a bounded queue, and the
+// rate of each event is limited. Dropped lines are counted; those dropped by the rate limit
+// are reported by EventLimited. It is safe for concurrent use.
 type Queue struct {
 	lines   chan []byte
 	waiting atomic.Int64 // lines accepted and not yet written
 	dropped atomic.Uint64
 
-	mutex    sync.Mutex
-	limiters map[string]*limited
+	mutex  sync.Mutex
+	limits map[string]*eventLimit
 }
 
-// limited is the rate of one event and what it left out.
-type limited struct {
-	limiter *rate.Limiter
-	left    uint64
-	told    time.Time
+// eventLimit is the rate limit of one event and the number of lines that it dropped.
+type eventLimit struct {
+	limiter    *rate.Limiter
+	dropped    uint64
+	reportedAt time.Time
 }
 
-// NewQueue returns a handler whose lines a goroutine writes for as long as the
-// process runs.
+// NewQueue returns a handler that writes to writer from a goroutine, which runs until the
+// process exits.
 func NewQueue(writer io.Writer) *Queue {
-	q := &Queue{lines: make(chan []byte, queuedLines), limiters: map[string]*limited{}}
+	q := &Queue{lines: make(chan []byte, maxQueuedLines), limits: map[string]*eventLimit{}}
 	go q.write(writer)
 	return q
 }
 
 func (q *Queue) write(writer io.Writer) {
 	for line := range q.lines {
-		_, _ = writer.Write(line) // there is nowhere to tell an error
+		_, _ = writer.Write(line) // there is nowhere to report an error
 		q.waiting.Add(-1)
 	}
 }
 
 // HandleLog implements log.Handler. It does not wait for the writer.
 func (q *Queue) HandleLog(entry *log.Entry) error {
-	left, allowed := q.allow(entry.Message, entry.Timestamp)
+	dropped, allowed := q.allow(entry.Message, entry.Timestamp)
 	if !allowed {
 		return nil
 	}
-	if left > 0 {
-		q.enqueue(leftOut(entry, left))
+	if dropped > 0 {
+		q.enqueue(limitedEntry(entry, dropped))
 	}
 	q.enqueue(entry)
 	return nil
 }
 
-// leftOut tells how many lines of an event were left out before an entry.
-func leftOut(before *log.Entry, count uint64) *log.Entry {
+// limitedEntry returns the entry that reports how many lines were dropped of the event whose
+// entry next is about to be written.
+func limitedEntry(next *log.Entry, count uint64) *log.Entry {
 	return &log.Entry{
-		Logger: before.Logger, Level: log.WarnLevel, Timestamp: before.Timestamp,
-		Message: EventLimited, Fields: Fields{"of": before.Message, "count": count},
+		Logger: next.Logger, Level: log.WarnLevel, Timestamp: next.Timestamp,
+		Message: EventLimited, Fields: Fields{"of": next.Message, "count": count},
 	}
 }
 
-// EventLimited is the event that tells how many lines of an event were left out.
+// EventLimited is the event that reports how many lines of an event the rate limit dropped.
 const EventLimited = "log.limited"
 
 func (q *Queue) enqueue(entry *log.Entry) {
@@ -87,33 +88,33 @@
 	}
 }
 
-// allow reports whether a line of an event may be written now, and how many
-// were left out since that was last told.
-func (q *Queue) allow(event string, now time.Time) (left uint64, allowed bool) {
+// allow reports whether a line of an event may be written now, and how many lines were dropped
+// since the last report, 0 if no report is due.
+func (q *Queue) allow(event string, now time.Time) (dropped uint64, allowed bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	held := q.limiters[event]
-	if held == nil {
-		held = &limited{limiter: rate.NewLimiter(linesPerSecond, linesAtOnce)}
-		q.limiters[event] = held
+	limit := q.limits[event]
+	if limit == nil {
+		limit = &eventLimit{limiter: rate.NewLimiter(linesPerSecond, lineBurst)}
+		q.limits[event] = limit
 	}
-	if !held.limiter.AllowN(now, 1) {
-		held.left++
+	if !limit.limiter.AllowN(now, 1) {
+		limit.dropped++
 		q.dropped.Add(1)
 		return 0, false
 	}
-	if held.left > 0 && now.Sub(held.told) >= reportEvery {
-		left = held.left
-		held.left = 0
-		held.told = now
+	if limit.dropped > 0 && now.Sub(limit.reportedAt) >= reportInterval {
+		dropped = limit.dropped
+		limit.dropped = 0
+		limit.reportedAt = now
 	}
-	return left, true
+	return dropped, true
 }
 
-// Dropped returns the number of lines that were left out.
+// Dropped returns the number of lines dropped by the rate limits or a full queue.
 func (q *Queue) Dropped() uint64 { return q.dropped.Load() }
 
-// Flush waits until all lines are written, or for the time given.
+// Flush waits until all lines are written, at most for the duration within.
 func (q *Queue) Flush(within time.Duration) {
 	const poll = time.Millisecond
 	for end := time.Now().Add(within); q.waiting.Load() > 0 && time.Now().Before(end); {
--- a/internal/logging/queue_test.go
+++ b/internal/logging/queue_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// blockedWriter takes nothing until it is released.
+// blockedWriter blocks until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 	mutex   sync.Mutex
@@ -25,12 +25,12 @@
 	return b.text.Write(line)
 }
 
-// A reader of the log that stops reading delays nobody and costs lines alone.
-func TestBlockedWriterBlocksNobody(t *testing.T) {
+// When the reader of the log stops reading, logging drops lines and does not block.
+func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
 	writer := &blockedWriter{release: make(chan struct{})}
 	queue := NewQueue(writer)
 	logger := &log.Logger{Handler: queue, Level: log.InfoLevel}
-	for range 4 * queuedLines {
+	for range 4 * maxQueuedLines {
 		logger.Info("request.refused")
 	}
 	must.Positive(t, queue.Dropped())
@@ -41,14 +41,14 @@
 	must.StrContains(t, writer.text.String(), "event=request.refused")
 }
 
-// Each event has a rate of its own, and what is left out is told.
-func TestEventsAreLimitedOneByOne(t *testing.T) {
+// Each event has its own rate limit, and the number of dropped lines is reported.
+func TestEventsAreRateLimitedSeparately(t *testing.T) {
 	var writer blockedWriter
 	writer.release = make(chan struct{})
 	close(writer.release)
 	queue := NewQueue(&writer)
 	now := time.Unix(1_000_000, 0)
-	for index := range 3 * linesAtOnce {
+	for index := range 3 * lineBurst {
 		_ = queue.HandleLog(&log.Entry{Message: "request.refused", Timestamp: now})
 		if index == 0 {
 			_ = queue.HandleLog(&log.Entry{Message: "node.started", Timestamp: now})
@@ -59,7 +59,7 @@
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
 	text := writer.text.String()
-	must.Eq(t, linesAtOnce+1, strings.Count(text, "event=request.refused"))
+	must.Eq(t, lineBurst+1, strings.Count(text, "event=request.refused"))
 	must.StrContains(t, text, "event=node.started")
 	must.StrContains(t, text, "event=log.limited count=200 of=request.refused")
 }
