--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -13,11 +13,11 @@
 	"sliphead/internal/fault"
 )
 
-// maxFileBytes bounds a settings file.
+// maxFileBytes limits the size of a settings file.
 const maxFileBytes = 1 << 20
 
-// Load reads a settings file, applies the overrides (from flags), fills the
-// defaults and validates the whole.
+// Load reads a settings file, applies the overrides (from flags), sets the defaults and
+// validates the result.
 func Load(path string, overrides ...func(*Settings)) (*Settings, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return Parse(path, text, overrides...)
 }
 
-// readFile reads a file of bounded size.
+// readFile reads a file of at most maxFileBytes.
 func readFile(path string) ([]byte, error) {
 	const remedy = "name a readable settings file with --settings"
 	file, err := os.Open(path)
@@ -44,7 +44,8 @@
 	return text, nil
 }
 
-// Parse is Load for a text already read; path is named in errors.
+// Parse does the same as Load with a text that was already read; path is the file name in
+// errors.
 func Parse(path string, text []byte, overrides ...func(*Settings)) (*Settings, error) {
 	settings := Default()
 	decoder := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict())
@@ -62,10 +63,10 @@
 	if err != nil {
 		return nil, decodeError(path, err)
 	}
-	return settings, settings.validate(place{path: path, document: document})
+	return settings, settings.validate(locator{path: path, document: document})
 }
 
-// decodeError types an error of the YAML library and names its line.
+// decodeError converts an error of the YAML library to a fault with file name and line.
 func decodeError(path string, err error) error {
 	var typed lineError
 	if errors.As(err, &typed) {
@@ -82,15 +83,15 @@
 	return fault.Wrap(err, fault.Settings, remedy, "%s", path)
 }
 
-// place finds the line of a key in the file.
-type place struct {
+// locator finds the line of a key in the file.
+type locator struct {
 	path     string
 	document *ast.File
 }
 
-// of returns file and line of a key such as listen.peer, of its nearest parent
-// when the key is not in the file, and the file alone when none is.
-func (p place) of(key string) string {
+// locate returns the file and line of a key such as listen.peer. If the key is not in the file it
+// returns the line of its nearest parent, or the file alone if there is none.
+func (p locator) locate(key string) string {
 	for key != "" {
 		if line := p.line(key); line > 0 {
 			return p.path + ":" + itoa(line)
@@ -100,8 +101,8 @@
 	return p.path
 }
 
-// line returns the line of a key, 0 when it is not in the file.
-func (p place) line(key string) int {
+// line returns the line of a key, 0 if the key is not in the file.
+func (p locator) line(key string) int {
 	path, err := yaml.PathString("$." + key)
 	if err != nil {
 		return 0
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds what a node is told about itself: a strict YAML file,
-// overridden by flags. It does no more I/O than reading that file.
+// Package settings defines the settings of a node: a strict YAML file, overridden by flags.
+// Its only I/O is reading that file.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"sliphead/internal/fault"
 )
 
-// Profile weighs convergence time against control bytes.
+// Profile selects between fast convergence and few control bytes.
 type Profile string
 
 // The profiles.
@@ -43,7 +43,7 @@
 	Cold         Cold              `yaml:"cold"`
 	Quota        Quota             `yaml:"quota"`
 	Tenants      Tenants           `yaml:"tenants"`
-	Regions      map[string]string `yaml:"regions,omitempty"` // by zone; where a store serves the mesh
+	Regions      map[string]string `yaml:"regions,omitempty"` // region by zone; used with a store
 }
 
 // Worker is the back end beside the node.
@@ -54,35 +54,34 @@
 	HealthInterval Duration `yaml:"healthInterval" validate:"atLeast=1s"` // a probe may cost 6 ms
 }
 
-// Listen are the addresses that the node binds.
+// Listen are the addresses on which the node listens.
 type Listen struct {
 	Peer     string `yaml:"peer" validate:"address"`
-	Inbound  string `yaml:"inbound,omitempty" validate:"omitempty,address"` // required with a worker, absent without
+	Inbound  string `yaml:"inbound,omitempty" validate:"omitempty,address"` // required with a worker, not allowed without
 	Outbound string `yaml:"outbound" validate:"address"`
 	Admin    string `yaml:"admin" validate:"address"`
-	Quota    string `yaml:"quota,omitempty" validate:"omitempty,address"` // for datagrams on tenants' limits, with a store; absent: tenants have none
+	Quota    string `yaml:"quota,omitempty" validate:"omitempty,address"` // for quota messages, with a store; if absent, tenants have no limits
 }
 
-// Advertise are the addresses that peers are told; by default those of Listen.
+// Advertise are the addresses that are announced to peers; by default those of Listen.
 type Advertise struct {
 	Peer    string `yaml:"peer,omitempty" validate:"address,routable"`
 	Inbound string `yaml:"inbound,omitempty" validate:"omitempty,address,routable"`
 }
 
-// Source says where the platform's configuration service and machine list are.
+// Source locates the platform's configuration service and machine list, or its store.
 type Source struct {
 	Configuration    string   `yaml:"configuration,omitempty" validate:"required_without=Store,omitempty,http_url"`
 	Store            string   `yaml:"store,omitempty" validate:"excluded_with=Configuration,omitempty,address"` // IP:port of a linearizable store, in place of configuration and machines
-	Freshness        Duration `yaml:"freshness" validate:"atLeast=200ms,atMost=1m"`                             // with a store: the time within which a change is in force
+	Freshness        Duration `yaml:"freshness" validate:"atLeast=200ms,atMost=1m"`                             // with a store: the time within which a change must be in force
 	Machines         string   `yaml:"machines,omitempty" validate:"omitempty,http_url"`
-	Readers          int      `yaml:"readers" validate:"min=1,max=1000"`          // at most so many nodes read, fleet-wide
-	LongPoll         Duration `yaml:"longPoll" validate:"atLeast=0s,atMost=5m"`   // 0 asks without waiting
+	Readers          int      `yaml:"readers" validate:"min=1,max=1000"`          // maximum number of nodes that read, fleet-wide
+	LongPoll         Duration `yaml:"longPoll" validate:"atLeast=0s,atMost=5m"`   // 0: requests return at once
 	MachinesInterval Duration `yaml:"machinesInterval" validate:"atLeast=1s"`     //
-	Timeout          Duration `yaml:"timeout" validate:"atLeast=100ms,atMost=5m"` // for one answer, beyond the long poll
+	Timeout          Duration `yaml:"timeout" validate:"atLeast=100ms,atMost=5m"` // for one response, in addition to the long poll
 }
 
-// Security holds the keys of the peer protocol. Exactly one of plain and the
-// files is set.
+// Security configures the keys of the peer protocol: either plain or all the files are set.
 type Security struct {
 	Plain           bool   `yaml:"plain,omitempty"` // no authentication; for tests only
 	CertificateFile string `yaml:"certificateFile,omitempty"`
@@ -91,38 +90,38 @@
 	DatagramKeyFile string `yaml:"datagramKeyFile,omitempty"`
 }
 
-// Callers holds the keys of the listeners towards callers; none means HTTP
+// Callers configures the keys of the listeners for callers; without them these use HTTP
 // without TLS.
 type Callers struct {
 	CertificateFile string `yaml:"certificateFile,omitempty" validate:"required_with=KeyFile"`
 	KeyFile         string `yaml:"keyFile,omitempty" validate:"required_with=CertificateFile"`
 }
 
-// Distribution tunes how versions spread.
+// Distribution configures how versions are distributed.
 type Distribution struct {
-	Holders         int      `yaml:"holders" validate:"min=1,max=15"`        // members that hold a version before it is accepted
-	Fanout          int      `yaml:"fanout" validate:"min=2,max=64"`         // children of a relay
+	Holders         int      `yaml:"holders" validate:"min=1,max=15"`        // members that must hold a version before it is accepted
+	Fanout          int      `yaml:"fanout" validate:"min=2,max=64"`         // children per node in the distribution tree
 	ReadersPerZone  int      `yaml:"readersPerZone" validate:"min=1,max=16"` //
 	Lease           Duration `yaml:"lease" validate:"atLeast=100ms,atMost=1m"`
-	ScheduleOverlap Duration `yaml:"scheduleOverlap" validate:"atLeast=0s,atMost=59s"` // under the minute that is a window's least length
+	ScheduleOverlap Duration `yaml:"scheduleOverlap" validate:"atLeast=0s,atMost=59s"` // less than one minute, the minimum length of a schedule's window
 }
 
-// Membership tunes the failure detector.
+// Membership configures the failure detector.
 type Membership struct {
 	ProbeInterval  Duration `yaml:"probeInterval" validate:"atLeast=50ms,atMost=1m"`
 	GossipInterval Duration `yaml:"gossipInterval" validate:"atLeast=10ms,atMost=1m"` // default by profile
 }
 
-// Claims tunes requests that may not be repeated.
+// Claims configures the requests that must not be repeated.
 type Claims struct {
 	KeyLife   Duration  `yaml:"keyLife" validate:"atLeast=1s,atMost=24h"`
 	GroupSize int       `yaml:"groupSize" validate:"min=1,max=15"`
-	ClockSkew Duration  `yaml:"clockSkew" validate:"atLeast=0s,atMost=10m"`        // bound on the differences between the nodes' clocks
-	CopyOnly  bool      `yaml:"copyOnly,omitempty"`                                // a replica that can't copy gives no vote, whatever its age; needs Since for the first start
-	Since     time.Time `yaml:"since,omitempty" validate:"required_with=CopyOnly"` // no replica votes before it; those started before it have forgotten nothing
+	ClockSkew Duration  `yaml:"clockSkew" validate:"atLeast=0s,atMost=10m"`        // maximum difference between the nodes' clocks
+	CopyOnly  bool      `yaml:"copyOnly,omitempty"`                                // a replica that can't copy records gives no vote, however long it has run; requires Since for the first start
+	Since     time.Time `yaml:"since,omitempty" validate:"required_with=CopyOnly"` // no replica votes before this time; replicas started before it have lost no state
 }
 
-// Limits bound what callers may cost the node.
+// Limits limit the resources that callers may use.
 type Limits struct {
 	MaxHeaderBytes  int      `yaml:"maxHeaderBytes" validate:"min=1024,max=1048576"`
 	HeaderTimeout   Duration `yaml:"headerTimeout" validate:"atLeast=100ms"`
@@ -130,40 +129,40 @@
 	BodyIdleTimeout Duration `yaml:"bodyIdleTimeout" validate:"atLeast=1s"`
 	QueueLength     int      `yaml:"queueLength" validate:"min=1,max=100000"`
 	MaxConnections  int      `yaml:"maxConnections" validate:"min=1,max=1000000"`
-	RegionBytes     float64  `yaml:"regionBytes" validate:"min=1,max=1000"`           // price of a byte between regions, in parts of one between zones
-	LinkMbps        float64  `yaml:"linkMbps,omitempty" validate:"min=0,max=1000000"` // what the machine's link carries, megabits a second; 0: not known, long bodies are not paced
+	RegionBytes     float64  `yaml:"regionBytes" validate:"min=1,max=1000"`           // cost of a byte between regions, as a multiple of one between zones
+	LinkMbps        float64  `yaml:"linkMbps,omitempty" validate:"min=0,max=1000000"` // capacity of the machine's link, megabits per second; 0: unknown, long bodies are not paced
 }
 
-// Cold says how far a cold worker may go beyond the requests a second that its service
+// Cold limits the rate of a cold worker beyond the requests per second that its service
 // declares, with a store.
 type Cold struct {
-	Overage float64 `yaml:"overage" validate:"min=1,max=10"`  // times the declared rate
-	Slack   float64 `yaml:"slack" validate:"min=0,max=10000"` // requests beside, within any second
+	Overage float64 `yaml:"overage" validate:"min=1,max=10"`  // multiple of the declared rate
+	Slack   float64 `yaml:"slack" validate:"min=0,max=10000"` // additional requests within any second
 }
 
-// Quota bounds what a tenant may run over the whole mesh beyond its rate and burst, with a
+// Quota limits by how much a tenant may exceed its rate and burst over the whole mesh, with a
 // store and listen.quota.
 type Quota struct {
-	Window  Duration `yaml:"window" validate:"atLeast=1s,atMost=1h"` // in any of which the bound holds
-	Overage float64  `yaml:"overage" validate:"min=0,max=10"`        // part of rate x window + burst
-	Slack   float64  `yaml:"slack" validate:"min=0,max=10000"`       // requests beside, in a window
+	Window  Duration `yaml:"window" validate:"atLeast=1s,atMost=1h"` // the limit applies to any window of this length
+	Overage float64  `yaml:"overage" validate:"min=0,max=10"`        // fraction of rate x window + burst
+	Slack   float64  `yaml:"slack" validate:"min=0,max=10000"`       // additional requests in a window
 }
 
-// Tenants says how strictly callers' keys are held, with a store.
+// Tenants configures the checks of callers' keys, with a store.
 type Tenants struct {
-	FailClosedAfter Duration `yaml:"failClosedAfter" validate:"atLeast=0s,atMost=10m"` // a node that has not heard for so long which keys are in force lets no caller in that needs one; 0: it goes by what it knows
+	FailClosedAfter Duration `yaml:"failClosedAfter" validate:"atLeast=0s,atMost=10m"` // when a node's knowledge of the keys in force is older than this, it rejects callers that need a key; 0: it uses the keys it has, whatever their age
 }
 
-// Retry bounds repeated arrivals at workers, with a store.
+// Retry limits repeated arrivals of requests at workers, with a store.
 type Retry struct {
 	Ratio float64 `yaml:"ratio" validate:"min=0,max=1"`    // of the requests
-	Slack int     `yaml:"slack" validate:"min=0,max=1000"` // beside the ratio, for the whole mesh
+	Slack int     `yaml:"slack" validate:"min=0,max=1000"` // arrivals in addition to the ratio, for the whole mesh
 }
 
-// Drain tunes the planned stop.
+// Drain configures the planned stop.
 type Drain struct {
-	Timeout Duration `yaml:"timeout" validate:"atLeast=1s,atMost=24h"`          // after it, requests in flight are cut
-	Worker  Duration `yaml:"worker,omitempty" validate:"atLeast=0s,atMost=10m"` // with a store: for so long after its record is gone a worker may be sent requests
+	Timeout Duration `yaml:"timeout" validate:"atLeast=1s,atMost=24h"`          // after it, requests in flight are aborted
+	Worker  Duration `yaml:"worker,omitempty" validate:"atLeast=0s,atMost=10m"` // with a store: how long a worker may be sent requests after its record was removed
 }
 
 // The gossip intervals of the profiles.
@@ -172,7 +171,7 @@
 	gossipForBytes       = 500 * time.Millisecond
 )
 
-// GossipInterval returns the time between two rounds of gossip.
+// GossipInterval returns the default time between two rounds of gossip.
 func (p Profile) GossipInterval() time.Duration {
 	if p == ProfileBytes {
 		return gossipForBytes
@@ -180,8 +179,8 @@
 	return gossipForConvergence
 }
 
-// Default returns the settings of a node before its file is read. Names,
-// addresses, the source and security have no default.
+// Default returns the default settings. Names, addresses, the source and security have no
+// default.
 func Default() *Settings {
 	return &Settings{
 		Profile:      ProfileConvergence,
@@ -196,7 +195,7 @@
 			BodyIdleTimeout: Duration{30 * time.Second},
 			QueueLength:     256,
 			MaxConnections:  4096,
-			RegionBytes:     4, // assumed: a few times as dear; an operator who knows the prices says more
+			RegionBytes:     4, // an assumption: traffic between regions costs a few times as much; operators who know the prices set their own
 		},
 		Drain: Drain{Timeout: Duration{10 * time.Minute}},
 		Retry: Retry{Ratio: 0.2, Slack: 64},
@@ -205,7 +204,7 @@
 	}
 }
 
-// derive fills the defaults that depend on other settings.
+// derive sets the defaults that depend on other settings.
 func (s *Settings) derive() {
 	if s.Advertise.Peer == "" {
 		s.Advertise.Peer = s.Listen.Peer
@@ -227,8 +226,8 @@
 	}
 }
 
-// Print writes the settings in force as YAML. It holds names of key files and
-// no keys.
+// Print writes the effective settings as YAML. These contain the names of key files but no
+// keys.
 func (s *Settings) Print(writer io.Writer) error {
 	text, err := yaml.Marshal(s)
 	if err != nil {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -14,47 +14,48 @@
 	"sliphead/internal/fault"
 )
 
-// validate checks all settings and names the first wrong one with its place.
-func (s *Settings) validate(where place) error {
-	if err := s.checkFields(where); err != nil {
+// validate checks all settings. The error names the first invalid one and its location.
+func (s *Settings) validate(lines locator) error {
+	if err := s.checkFields(lines); err != nil {
 		return err
 	}
-	if err := s.checkWorker(where); err != nil {
+	if err := s.checkWorker(lines); err != nil {
 		return err
 	}
-	return s.Security.check(where)
+	return s.Security.check(lines)
 }
 
-// checkFields applies the rules in the field tags.
-func (s *Settings) checkFields(where place) error {
-	var wrong validator.ValidationErrors
+// checkFields applies the rules of the field tags.
+func (s *Settings) checkFields(lines locator) error {
+	var violations validator.ValidationErrors
 	err := newValidator().Struct(s)
 	if err == nil {
 		return nil
 	}
-	if !errors.As(err, &wrong) {
+	if !errors.As(err, &violations) {
 		return fault.Wrap(err, fault.Internal, "report this defect", "validate the settings")
 	}
-	first := wrong[0]
+	first := violations[0]
 	_, key, _ := strings.Cut(first.Namespace(), ".")
-	return fault.New(fault.Settings, remedyFor(first), "%s: %s is %s", where.of(key), key, quoted(first.Value()))
+	return fault.New(fault.Settings, remedyFor(first), "%s: %s is %s", lines.locate(key), key, quoted(first.Value()))
 }
 
-// checkWorker refuses a worker without inbound listener and the reverse.
-func (s *Settings) checkWorker(where place) error {
+// checkWorker rejects a worker without an inbound listener and an inbound listener without a
+// worker.
+func (s *Settings) checkWorker(lines locator) error {
 	if s.Worker != nil && s.Listen.Inbound == "" {
 		return fault.New(fault.Settings, "add listen.inbound, the address for requests to the worker",
-			"%s: a node with a worker has no inbound listener", where.of("listen"))
+			"%s: a node with a worker has no inbound listener", lines.locate("listen"))
 	}
 	if s.Worker == nil && s.Listen.Inbound != "" {
 		return fault.New(fault.Settings, "remove listen.inbound, or name the worker",
-			"%s: a node without a worker has an inbound listener", where.of("listen.inbound"))
+			"%s: a node without a worker has an inbound listener", lines.locate("listen.inbound"))
 	}
 	return nil
 }
 
-// check refuses anything but plain alone or all key files.
-func (s Security) check(where place) error {
+// check rejects anything but either plain alone or all key files.
+func (s Security) check(lines locator) error {
 	files := []string{s.CertificateFile, s.KeyFile, s.AuthorityFile, s.DatagramKeyFile}
 	named := 0
 	for _, file := range files {
@@ -63,18 +64,18 @@
 		}
 	}
 	if s.Plain && named > 0 {
-		return fault.New(fault.Settings, "remove security.plain to use the keys, or the keys to run tests without",
-			"%s: security.plain is set and keys are named", where.of("security"))
+		return fault.New(fault.Settings, "remove security.plain to use the keys, or remove the keys to run tests without them",
+			"%s: security.plain is set together with key files", lines.locate("security"))
 	}
 	if !s.Plain && named < len(files) {
 		return fault.New(fault.Settings, "name certificateFile, keyFile, authorityFile and datagramKeyFile, or set plain: true in a test",
-			"%s: security names %d of %d key files", where.of("security"), named, len(files))
+			"%s: security names %d of %d key files", lines.locate("security"), named, len(files))
 	}
 	return nil
 }
 
-// newValidator returns a validator that knows the rules of this package and
-// names fields as in the file.
+// newValidator returns a validator with the rules of this package that names fields as in the
+// file.
 func newValidator() *validator.Validate {
 	rules := validator.New(validator.WithRequiredStructEnabled())
 	rules.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -98,7 +99,7 @@
 	return rules
 }
 
-// parameter returns the duration in a rule, in nanoseconds.
+// parameter returns the duration of a rule, in nanoseconds.
 func parameter(field validator.FieldLevel) int64 {
 	bound, err := time.ParseDuration(field.Param())
 	if err != nil {
@@ -107,20 +108,20 @@
 	return int64(bound)
 }
 
-// isAddress accepts an IP and a port, and no host name.
+// isAddress accepts an IP with a port, but no host name.
 func isAddress(field validator.FieldLevel) bool {
 	_, err := netip.ParseAddrPort(field.Field().String())
 	return err == nil
 }
 
-// isRoutable accepts an address that others can connect to.
+// isRoutable accepts an address to which other machines can connect.
 func isRoutable(field validator.FieldLevel) bool {
 	address, err := netip.ParseAddrPort(field.Field().String())
 	return err == nil && !address.Addr().IsUnspecified() && address.Port() != 0
 }
 
-// isNodeName accepts letters, digits, dots and hyphens, as in a DNS name,
-// because certificates prove the name.
+// isNodeName accepts letters, digits, dots and hyphens, as in a DNS name, because certificates
+// authenticate the name.
 func isNodeName(field validator.FieldLevel) bool {
 	return !strings.ContainsFunc(field.Field().String(), func(character rune) bool {
 		switch {
@@ -133,11 +134,11 @@
 	})
 }
 
-// remedyFor says what to write instead.
-func remedyFor(wrong validator.FieldError) string {
-	switch wrong.Tag() {
+// remedyFor returns the remedy for a violated rule.
+func remedyFor(violation validator.FieldError) string {
+	switch violation.Tag() {
 	case "required", "required_with":
-		return "set " + wrong.Field()
+		return "set " + violation.Field()
 	case "address":
 		return "write an IP and a port, such as 10.0.0.5:7000"
 	case "routable":
@@ -147,18 +148,18 @@
 	case "http_url":
 		return "write a URL that starts with http:// or https://"
 	case "oneof":
-		return "write one of " + wrong.Param()
+		return "write one of " + violation.Param()
 	case "startswith":
-		return "start it with " + wrong.Param()
+		return "start it with " + violation.Param()
 	case "min", "atLeast":
-		return "use at least " + wrong.Param()
+		return "use at least " + violation.Param()
 	case "max", "atMost":
-		return "use at most " + wrong.Param()
+		return "use at most " + violation.Param()
 	}
-	return "follow the rule " + wrong.Tag() + " " + wrong.Param()
+	return "follow the rule " + violation.Tag() + " " + violation.Param()
 }
 
-// quoted returns the value as it would stand in the file.
+// quoted formats a value as in the file.
 func quoted(value any) string {
 	switch typed := value.(type) {
 	case string:
@@ -178,7 +179,7 @@
 // itoa returns the decimal digits of a number.
 func itoa(number int) string { return strconv.Itoa(number) }
 
-// parentOf returns the key that holds a key, "" at the top.
+// parentOf returns the parent of a key, "" for a top-level key.
 func parentOf(key string) string {
 	at := strings.LastIndexAny(key, ".[")
 	if at < 0 {
@@ -187,7 +188,7 @@
 	return key[:at]
 }
 
-// HostOf returns the IP of an address already validated.
+// HostOf returns the IP of a valid address.
 func HostOf(address string) string {
 	host, _, _ := net.SplitHostPort(address)
 	return host
