--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills optional fields of configurations.
+// Package defaults sets optional fields to their default values.
 package defaults
 
-// Set gives a field with the zero value its default.
+// Set assigns value to a field that has the zero value.
 func Set[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,5 @@
-// Package fault holds the typed errors of sliphead. Each error has a kind,
-// says what is wrong and names the remedy, so that the person on call can act
-// on the log line alone.
+// Package fault defines the typed errors of sliphead. Each error has a kind, a description and
+// a remedy, so that an operator can act on the log line alone.
 package fault
 
 import (
@@ -16,14 +15,14 @@
 const (
 	Settings    Kind = "settings"    // the settings file or flags are wrong
 	Declaration Kind = "declaration" // the operators' declarations are wrong
-	Source      Kind = "source"      // the configuration service failed or answered nonsense
-	Peer        Kind = "peer"        // another node failed or broke the protocol
-	Worker      Kind = "worker"      // the back end failed or broke HTTP
+	Source      Kind = "source"      // the configuration service failed or sent an invalid response
+	Peer        Kind = "peer"        // another node failed or violated the protocol
+	Worker      Kind = "worker"      // the back end failed or violated HTTP
 	Caller      Kind = "caller"      // the caller's request is malformed or not routable
-	Overload    Kind = "overload"    // a bound was reached; try again later
-	Deadline    Kind = "deadline"    // the time allowed has passed
+	Overload    Kind = "overload"    // a limit was reached; retry later
+	Deadline    Kind = "deadline"    // the deadline has passed
 	Unready     Kind = "unready"     // the node lacks what it needs to serve
-	Claim       Kind = "claim"       // a request that may not be repeated could not be claimed
+	Claim       Kind = "claim"       // a request that must not be repeated could not be claimed
 	Internal    Kind = "internal"    // a defect in sliphead itself
 )
 
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,6 +1,6 @@
-// Package version orders configuration versions. The order is total, so
-// joining two nodes' knowledge is taking the greater version, and updates that
-// arrive late, twice or crossed need no agreement protocol to converge.
+// Package version defines the total order of configuration versions. Two nodes merge their
+// state by taking the greater version, so updates that arrive late, twice or out of order
+// converge without an agreement protocol.
 package version
 
 import (
@@ -10,14 +10,14 @@
 
 // Version is a point in the total order of configuration versions.
 type Version struct {
-	// Epoch is raised by operators to recover from a source that was restored
-	// from an old copy. It is compared first.
+	// Epoch is raised by operators to recover from a source that was restored from an old
+	// copy. It is compared first.
 	Epoch uint64 `json:"epoch"`
-	// Revision is the source's own count of changes.
+	// Revision is the source's counter of changes.
 	Revision uint64 `json:"revision"`
-	// Digest is the hexadecimal digest of the content. Two contents under one
-	// epoch and revision mean a source that equivocates: the greater digest
-	// wins on every node alike.
+	// Digest is the hexadecimal digest of the content. A source that sends two contents for
+	// the same epoch and revision equivocates: the greater digest takes precedence on every
+	// node.
 	Digest string `json:"digest,omitempty"`
 }
 
@@ -33,10 +33,11 @@
 // After reports whether v is strictly newer than w.
 func (v Version) After(w Version) bool { return v.Compare(w) > 0 }
 
-// IsZero reports whether v is the version of a node that holds nothing.
+// IsZero reports whether v is the version of a node that has no configuration yet.
 func (v Version) IsZero() bool { return v == Version{} }
 
-// Conflicts reports whether the source gave two contents for one revision.
+// Conflicts reports whether the source sent different contents for the same epoch and
+// revision.
 func (v Version) Conflicts(w Version) bool {
 	return v.Epoch == w.Epoch && v.Revision == w.Revision && v.Digest != w.Digest
 }
