--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -144,7 +144,7 @@
 }
 
 // begin waits for this response's turn and writes the header. pending is the number of body
-// bytes that wait meanwhile.
+// bytes that wait for the turn.
 func (r *response) begin(pending int) error {
 	if err := r.awaitTurn(pending); err != nil {
 		return err
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -441,10 +441,10 @@
 		answers int
 		within  time.Duration
 	}{
-		"new":             {"", 0, defaultHeaderTimeout},
-		"half a header":   {"GET / HTT", 0, defaultHeaderTimeout},
-		"idle":            {"GET /a HTTP/1.1\r\nHost: x\r\n\r\n", 1, defaultIdleTimeout},
-		"after an answer": {"GET /a?for=10m HTTP/1.1\r\nHost: x\r\n\r\n", 1, 10*time.Minute + defaultIdleTimeout},
+		"new":              {"", 0, defaultHeaderTimeout},
+		"half a header":    {"GET / HTT", 0, defaultHeaderTimeout},
+		"idle":             {"GET /a HTTP/1.1\r\nHost: x\r\n\r\n", 1, defaultIdleTimeout},
+		"after a response": {"GET /a?for=10m HTTP/1.1\r\nHost: x\r\n\r\n", 1, 10*time.Minute + defaultIdleTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/httpserver/watch.go
+++ b/internal/httpserver/watch.go
@@ -56,7 +56,7 @@
 func (c *connection) awaitResponses() {
 	if c.hasOutstanding() && c.context.Err() == nil {
 		c.beginIdleRead(time.Time{})
-		if c.hasOutstanding() { // else the last response completed before the read began
+		if c.hasOutstanding() { // otherwise the last response completed before the read began
 			_, err := c.reader.Peek(1)
 			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				c.cancel()
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -57,7 +57,7 @@
 }
 
 // unlimitedLease keeps views valid: replication tracks the age of the catalog, and requests
-// are served on while the store is unavailable.
+// continue to be served while the store is unavailable.
 const unlimitedLease = 50 * 365 * 24 * time.Hour
 
 // NewCatalog assembles a catalog node. It opens no socket.
@@ -180,9 +180,8 @@
 	n.logPublished(before, view, state.Revision())
 }
 
-// lapsedFraction is the share of drain.worker during which an instance whose record was
-// removed may still be sent requests. A leaving worker with a record may be sent requests for
-// all of it.
+// lapsedFraction is the share of drain.worker, the time during which a leaving worker may
+// still be sent requests, that applies to an instance whose record was removed.
 const lapsedFraction = 0.75
 
 // lapsed returns the deadlines until which instances whose records were removed may be sent
@@ -196,7 +195,7 @@
 	return lapsed
 }
 
-// retain sets whether the inbound handler retains the local worker.
+// retain sets whether this node stays responsible for a local worker whose record was removed.
 func (n *CatalogNode) retain(retains bool) {
 	n.inbound.Retain(retains)
 	logging.Event(n.options.Logger, "worker.retained", logging.Fields{"retains": retains})
--- a/internal/node/catalog_hosts.go
+++ b/internal/node/catalog_hosts.go
@@ -19,7 +19,7 @@
 }
 
 // updateHosts passes the machines of the catalog to the quarantine, as its peers, and with the
-// tenants to the quotas, as the owners of tenants' limits.
+// tenants to the quotas, as the possible owners of tenants' limits.
 func (n *CatalogNode) updateHosts(state *catalog.State) {
 	hosts := n.workerHosts(state)
 	addresses := make([]string, 0, len(hosts))
