--- a/internal/declaration/boundary.go
+++ b/internal/declaration/boundary.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Boundaries returns the moments after from, and up to and with to, at which a
-// window of the document opens or closes. They are sorted, in UTC and without
-// repeats. Malformed windows have none.
+// Boundaries returns the moments in the interval (from, to] at which a window of
+// the document opens or closes. They are in UTC, sorted and without duplicates.
+// Malformed windows are ignored.
 func Boundaries(document *Document, from, to time.Time) []time.Time {
 	var moments []time.Time
 	for _, schedule := range documentSchedules(document) {
@@ -16,13 +16,14 @@
 	return SortedMoments(moments)
 }
 
-// SortedMoments sorts moments and drops repeats.
+// SortedMoments sorts moments in place and returns them without duplicates.
 func SortedMoments(moments []time.Time) []time.Time {
 	slices.SortFunc(moments, time.Time.Compare)
 	return slices.CompactFunc(moments, time.Time.Equal)
 }
 
-// documentSchedules returns each distinct schedule once.
+// documentSchedules returns the distinct schedules of the document's windows, one
+// for each time zone in which a window applies.
 func documentSchedules(document *Document) []Schedule {
 	seen := make(map[Schedule]bool)
 	var schedules []Schedule
@@ -43,12 +44,12 @@
 	return schedules
 }
 
-// Boundaries returns the moments after from, and up to and with to, at which
-// the schedule opens or closes, sorted and in UTC.
+// Boundaries returns the moments in the interval (from, to] at which the schedule
+// opens or closes, sorted and in UTC.
 //
-// The zone's offset is constant between two changes of it, so there each wall
-// clock time is one moment at most. A change of offset may itself open or close
-// the schedule.
+// The interval is processed in parts with a constant UTC offset, so that each
+// wall-clock time of a day occurs at most once within a part. A change of the
+// offset may itself open or close the schedule.
 func (s Schedule) Boundaries(from, to time.Time) []time.Time {
 	var moments []time.Time
 	for start := from; start.Before(to); {
@@ -65,13 +66,13 @@
 	return SortedMoments(moments)
 }
 
-// candidates returns the moments from start to end, both included, at which the
-// wall clock shows the schedule's start or end, and both limits. The offset is
-// that of start.
+// candidates returns start, end and the moments between them at which the wall
+// clock shows the schedule's start or end. The UTC offset must not change between
+// start and end.
 func (s Schedule) candidates(start, end time.Time) []time.Time {
 	_, offset := start.In(s.location).Zone()
 	shift := time.Duration(offset) * time.Second
-	midnight := start.UTC().Add(shift).Truncate(24 * time.Hour) // of the wall clock, read as UTC
+	midnight := start.UTC().Add(shift).Truncate(24 * time.Hour) // midnight of the wall clock, represented in UTC
 	moments := []time.Time{start.UTC(), end.UTC()}
 	for day := midnight; !day.Add(-shift).After(end); day = day.Add(24 * time.Hour) {
 		for _, minute := range []int{s.from, s.to} {
@@ -84,8 +85,7 @@
 	return moments
 }
 
-// changesAt reports whether the schedule is open just before a moment and not
-// at it, or the reverse.
+// changesAt reports whether the schedule opens or closes at a moment.
 func (s Schedule) changesAt(moment time.Time) bool {
 	return s.Open(moment) != s.Open(moment.Add(-time.Nanosecond))
 }
--- a/internal/declaration/evaluate.go
+++ b/internal/declaration/evaluate.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Evaluator answers which workers the routes of a valid document reach.
+// Evaluator determines the workers that the routes of a valid document select. It
+// is safe for concurrent use.
 type Evaluator struct {
-	zones     map[string]Zone
-	selectors map[string]Selector
-	byService map[string][]Worker // sorted by name
+	zones            map[string]Zone
+	selectors        map[string]Selector
+	workersByService map[string][]Worker // sorted by name
 }
 
-// NewEvaluator prepares a valid document. The document must not change while
-// the evaluator is in use.
+// NewEvaluator returns an evaluator of a valid document. The document must not be
+// modified while the evaluator is in use.
 func NewEvaluator(document *Document) *Evaluator {
 	evaluator := &Evaluator{
-		zones:     make(map[string]Zone, len(document.Zones)),
-		selectors: make(map[string]Selector, len(document.Selectors)),
-		byService: make(map[string][]Worker, len(document.Services)),
+		zones:            make(map[string]Zone, len(document.Zones)),
+		selectors:        make(map[string]Selector, len(document.Selectors)),
+		workersByService: make(map[string][]Worker, len(document.Services)),
 	}
 	for _, zone := range document.Zones {
 		evaluator.zones[zone.Name] = zone
@@ -29,20 +30,20 @@
 		evaluator.selectors[selector.Name] = selector
 	}
 	for _, worker := range document.Workers {
-		evaluator.byService[worker.Service] = append(evaluator.byService[worker.Service], worker)
+		evaluator.workersByService[worker.Service] = append(evaluator.workersByService[worker.Service], worker)
 	}
-	for _, workers := range evaluator.byService {
+	for _, workers := range evaluator.workersByService {
 		slices.SortFunc(workers, func(a, b Worker) int { return strings.Compare(a.Name, b.Name) })
 	}
 	return evaluator
 }
 
-// Workers returns the names of the workers that a route's selectors select at a
-// moment, sorted.
+// Workers returns the sorted names of the workers that a route's selectors select
+// at a moment.
 func (e *Evaluator) Workers(route Route, at time.Time) []string {
 	open := e.openZones(route, at)
 	var names []string
-	for _, worker := range e.byService[route.Service] {
+	for _, worker := range e.workersByService[route.Service] {
 		selected := slices.ContainsFunc(route.Selectors, func(name string) bool {
 			selector := e.selectors[name]
 			return open[selectorZone{selector: name, zone: worker.Zone}] && selector.MatchesWorker(worker)
@@ -54,9 +55,11 @@
 	return names
 }
 
+// selectorZone is a pair of names.
 type selectorZone struct{ selector, zone string }
 
-// openZones evaluates each selector of a route once for each zone.
+// openZones reports for each selector of a route and each zone whether the selector
+// matches the zone and is open.
 func (e *Evaluator) openZones(route Route, at time.Time) map[selectorZone]bool {
 	open := make(map[selectorZone]bool, len(route.Selectors)*len(e.zones))
 	for _, name := range route.Selectors {
@@ -68,23 +71,24 @@
 	return open
 }
 
-// Selection says whether one selector selects one worker, and why.
+// Selection is the result of evaluating one selector for one worker.
 type Selection struct {
 	Selector string
 	Selected bool
-	Reasons  []string // why not, in the order of the checks; empty when selected
+	Reasons  []string // why the worker is not selected, in the order of the checks; empty when selected
 }
 
-// WorkerSelection holds what each selector of a route makes of a worker.
+// WorkerSelection holds the results of all selectors of a route for one worker.
 type WorkerSelection struct {
 	Worker    Worker
-	Selected  bool
+	Selected  bool // whether at least one selector selects the worker
 	Selectors []Selection
 }
 
-// Explain evaluates each worker of a route's service at a moment, sorted by name.
+// Explain evaluates a route's selectors for each worker of its service at a moment.
+// The result is sorted by the workers' names.
 func (e *Evaluator) Explain(route Route, at time.Time) []WorkerSelection {
-	workers := e.byService[route.Service]
+	workers := e.workersByService[route.Service]
 	selections := make([]WorkerSelection, 0, len(workers))
 	for _, worker := range workers {
 		selection := WorkerSelection{Worker: worker}
@@ -108,27 +112,28 @@
 	return Selection{Selector: selector.Name, Selected: len(reasons) == 0, Reasons: reasons}
 }
 
-// missingLabels says which wanted labels are not held, sorted by key.
-func missingLabels(holder string, held, wanted Labels) []string {
+// missingLabels returns a message for each wanted label that is absent or has
+// another value, sorted by key.
+func missingLabels(kind string, labels, wanted Labels) []string {
 	var reasons []string
 	for key, value := range wanted {
-		has, found := held[key]
+		actual, found := labels[key]
 		switch {
 		case !found:
-			reasons = append(reasons, fmt.Sprintf("%s has no label %s, wanted is %s", holder, key, value))
-		case has != value:
-			reasons = append(reasons, fmt.Sprintf("%s label %s is %s, wanted is %s", holder, key, has, value))
+			reasons = append(reasons, fmt.Sprintf("%s has no label %s, wanted is %s", kind, key, value))
+		case actual != value:
+			reasons = append(reasons, fmt.Sprintf("%s label %s is %s, wanted is %s", kind, key, actual, value))
 		}
 	}
 	slices.Sort(reasons)
 	return reasons
 }
 
-// closedReason says when a closed selector opens again.
+// closedReason returns a message that says when a closed selector opens next.
 func closedReason(selector Selector, zone Zone, at time.Time) string {
 	const (
-		horizon = 16 * 24 * time.Hour // see Schedule.Boundaries: a weekly window may miss a week
-		shown   = "Mon 2006-01-02 15:04 MST"
+		horizon = 16 * 24 * time.Hour // two weeks and a margin: a weekly window may be skipped once by a change of the clock
+		layout  = "Mon 2006-01-02 15:04 MST"
 	)
 	schedules, err := selector.Schedules(zone)
 	if err != nil {
@@ -143,5 +148,5 @@
 		return "no window is open, and none opens soon"
 	}
 	next := slices.MinFunc(opens, time.Time.Compare)
-	return "no window is open; the next opens " + next.In(schedules[0].location).Format(shown)
+	return "no window is open; the next opens " + next.In(schedules[0].location).Format(layout)
 }
--- a/internal/declaration/fields.go
+++ b/internal/declaration/fields.go
@@ -9,7 +9,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// The rules on single fields that the structs' own tags do not state.
+// Validation rules for single fields that are not expressed as struct tags.
 const (
 	ruleName     = "name"
 	ruleLabels   = "labels"
@@ -22,24 +22,24 @@
 	ruleHost     = "host"
 	ruleMethods  = "methods"
 	rulePriority = "priority"
-	ruleRepeats  = "unique"
+	ruleUnique   = "unique"
 	ruleCount    = "count"
 	ruleDigest   = "digest"
 	ruleCapacity = "capacity"
 )
 
-// The bounds on what one item may hold.
+// Limits on the contents of one item.
 const (
-	maxLabels    = 32
-	maxWindows   = 64
-	maxSelected  = 32 // selectors of a route
-	maxPathBytes = 1024
-	maxCapacity  = 100_000 // slots or connections of a worker
+	maxLabels         = 32
+	maxWindows        = 64
+	maxRouteSelectors = 32 // selectors per route
+	maxPathBytes      = 1024
+	maxCapacity       = 100_000 // slots or connections per worker
 )
 
 const remedyDigest = "write the SHA-256 of the value as 64 lower-case hexadecimal digits"
 
-// remedies says what to do about a broken rule.
+// remedies maps each rule to the remedy shown when it is violated.
 var remedies = map[string]string{
 	"required":    "fill it in",
 	"min":         "raise it to the bound or above",
@@ -54,19 +54,20 @@
 	ruleDays:      remedyDay,
 	ruleClock:     remedyClock,
 	ruleEnd:       remedyClock,
-	ruleSpan:      remedyEmpty,
+	ruleSpan:      remedyEmptyWindow,
 	rulePath:      "begin with /, end without one, and leave out empty, . and .. segments and the characters ? # % and blanks",
 	ruleHost:      "write a lower-case host name without a port",
 	ruleMethods:   "use GET, HEAD, POST, PUT, PATCH, DELETE or OPTIONS",
 	rulePriority:  "use internal, interactive, upload or batch",
-	ruleRepeats:   "name each once",
-	ruleCount:     "drop what is not used",
+	ruleUnique:    "list each entry once",
+	ruleCount:     "remove unused entries",
 }
 
 var (
 	namePattern  = regexp.MustCompile(`^[a-z0-9]([-a-z0-9]{0,61}[a-z0-9])?$`)
 	labelPattern = regexp.MustCompile(`^[A-Za-z0-9]([-A-Za-z0-9._/]{0,61}[A-Za-z0-9])?$`)
-	// The tag hexadecimal admits 0x and capitals, which no digest of ours has.
+	// The validator tag "hexadecimal" also accepts a 0x prefix and capitals, which
+	// digests must not contain.
 	digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 	pathPattern   = regexp.MustCompile(`^(/|(/[^/?#%\s\\[:cntrl:]]+)+)$`)
 )
@@ -81,10 +82,10 @@
 	PriorityInternal: true, PriorityInteractive: true, PriorityUpload: true, PriorityBatch: true,
 }
 
-// fieldFault is one broken rule of an item.
-type fieldFault struct{ what, remedy string }
+// violation is a rule that an item violates, and the remedy.
+type violation struct{ what, remedy string }
 
-// fieldRules is safe for use by any number of goroutines.
+// fieldRules validates single items. It is safe for concurrent use.
 var fieldRules = newFieldRules()
 
 func newFieldRules() *validator.Validate {
@@ -103,13 +104,13 @@
 	return rules
 }
 
-// report notes that a field of the item at hand breaks a rule.
+// report records that a field of the item being checked violates a rule.
 type report func(value any, field, rule string)
 
-// unless reports a field that is filled in and does not hold. An empty one is
-// reported by the tags where it is required.
-func (r report) unless(holds bool, value any, field, rule string) {
-	if !holds && fmt.Sprint(value) != "" {
+// require reports a field that is not empty and not valid. Empty fields are
+// reported by the tag "required" where a value is needed.
+func (r report) require(valid bool, value any, field, rule string) {
+	if !valid && fmt.Sprint(value) != "" {
 		r(value, field, rule)
 	}
 }
@@ -122,27 +123,27 @@
 	}
 }
 
-// fieldFaults returns the broken rules of one item.
-func fieldFaults(item any) []fieldFault {
-	broken, _ := fieldRules.Struct(item).(validator.ValidationErrors)
-	faults := make([]fieldFault, 0, len(broken))
-	for _, each := range broken {
-		faults = append(faults, fieldFault{what: describe(each), remedy: remedies[each.Tag()]})
+// violations returns the rules that one item violates.
+func violations(item any) []violation {
+	violated, _ := fieldRules.Struct(item).(validator.ValidationErrors)
+	found := make([]violation, 0, len(violated))
+	for _, each := range violated {
+		found = append(found, violation{what: describeViolation(each), remedy: remedies[each.Tag()]})
 	}
-	return faults
+	return found
 }
 
-// describe says which field breaks which rule. The field's path starts with
-// the type's name, which the finding names already.
-func describe(broken validator.FieldError) string {
+// describeViolation returns a message about the field and the rule that it violates.
+// The type's name is cut from the field's path because the finding contains it already.
+func describeViolation(broken validator.FieldError) string {
 	_, field, _ := strings.Cut(broken.Namespace(), ".")
 	switch broken.Tag() {
 	case "required":
 		return field + " is missing"
 	case "min", "max":
 		return fmt.Sprintf("%s is %v, the bound is %s", field, broken.Value(), broken.Param())
-	case ruleRepeats:
-		return field + " names one thing twice"
+	case ruleUnique:
+		return field + " has duplicate entries"
 	case ruleCapacity:
 		return fmt.Sprintf("%s %v is out of bounds", field, broken.Value())
 	case ruleCount:
@@ -152,12 +153,12 @@
 	}
 }
 
-// quoted shows a value as it stands in the document, cut to a bounded length.
+// quoted returns a value in quotes, truncated to a bounded length.
 func quoted(value any) string {
-	const shown = 80
+	const maxBytes = 80
 	text := fmt.Sprintf("%q", fmt.Sprint(value))
-	if len(text) > shown {
-		return text[:shown] + `…"`
+	if len(text) > maxBytes {
+		return text[:maxBytes] + `…"`
 	}
 	return text
 }
--- a/internal/declaration/finding.go
+++ b/internal/declaration/finding.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// Finding is one thing that is wrong with declarations, and what to do.
+// Finding is a problem in the declarations, with its remedy.
 type Finding struct {
-	File   string // "" when the declarations were not read from files
-	Line   int    // from 1; 0 when it is not known
-	What   string // what is wrong
-	Remedy string // what to do about it
-	place  place
+	File   string // empty when the declarations were not read from files
+	Line   int    // counted from 1; 0 when unknown
+	What   string // description of the problem
+	Remedy string // how to fix it
+	item   itemRef
 }
 
-// String returns "file:line: what (remedy: …)", without the parts not known.
+// String returns "file:line: what (remedy: …)", without the parts that are unknown.
 func (f Finding) String() string {
 	var text strings.Builder
 	if f.File != "" {
@@ -29,7 +29,7 @@
 	return text.String()
 }
 
-// list names one of the lists of a document by its key.
+// list is the key of one of a document's lists.
 type list string
 
 // The lists of a document, in the order in which findings are sorted.
@@ -42,29 +42,29 @@
 	listSecrets   list = "secrets"
 )
 
-// kinds names an item of each list in messages.
-var kinds = map[list]string{
+// itemKinds maps each list to the name of one of its items in messages.
+var itemKinds = map[list]string{
 	listZones: "zone", listServices: "service", listWorkers: "worker",
 	listSelectors: "selector", listRoutes: "route", listSecrets: "secret",
 }
 
-// order gives the lists' places in a document.
-var order = map[list]int{
+// listOrder maps each list to its position in a document.
+var listOrder = map[list]int{
 	listZones: 1, listServices: 2, listWorkers: 3, listSelectors: 4, listRoutes: 5, listSecrets: 6,
 }
 
-// place says which item of which list a finding is about. The zero place is the
-// document itself.
-type place struct {
+// itemRef identifies an item of a document by its list and index. The zero value
+// stands for the document itself.
+type itemRef struct {
 	list  list
 	index int
 }
 
-// compareFindings orders findings by place, then text.
+// compareFindings orders findings by their item's position, then by text.
 func compareFindings(a, b Finding) int {
 	return cmp.Or(
-		cmp.Compare(order[a.place.list], order[b.place.list]),
-		cmp.Compare(a.place.index, b.place.index),
+		cmp.Compare(listOrder[a.item.list], listOrder[b.item.list]),
+		cmp.Compare(a.item.index, b.item.index),
 		cmp.Compare(a.What, b.What),
 		cmp.Compare(a.Remedy, b.Remedy),
 	)
--- a/internal/declaration/items.go
+++ b/internal/declaration/items.go
@@ -7,50 +7,50 @@
 )
 
 func checkZone(zone Zone, report report) {
-	report.unless(validName(zone.Name), zone.Name, "name", ruleName)
-	report.unless(validName(zone.Region), zone.Region, "region", ruleName)
-	report.unless(validTimeZone(zone.TimeZone), zone.TimeZone, "timeZone", ruleTimeZone)
+	report.require(validName(zone.Name), zone.Name, "name", ruleName)
+	report.require(validName(zone.Region), zone.Region, "region", ruleName)
+	report.require(validTimeZone(zone.TimeZone), zone.TimeZone, "timeZone", ruleTimeZone)
 	checkLabels(zone.Labels, "labels", report)
 }
 
 func checkService(service Service, report report) {
-	report.unless(validName(service.Name), service.Name, "name", ruleName)
+	report.require(validName(service.Name), service.Name, "name", ruleName)
 }
 
 func checkWorker(worker Worker, report report) {
-	report.unless(validName(worker.Name), worker.Name, "name", ruleName)
-	report.unless(worker.Slots <= maxCapacity, worker.Slots, "slots", ruleCapacity)
-	report.unless(worker.Connections <= maxCapacity, worker.Connections, "connections", ruleCapacity)
+	report.require(validName(worker.Name), worker.Name, "name", ruleName)
+	report.require(worker.Slots <= maxCapacity, worker.Slots, "slots", ruleCapacity)
+	report.require(worker.Connections <= maxCapacity, worker.Connections, "connections", ruleCapacity)
 	checkLabels(worker.Labels, "labels", report)
 }
 
 func checkSelector(selector Selector, report report) {
-	report.unless(validName(selector.Name), selector.Name, "name", ruleName)
-	report.unless(len(selector.Windows) <= maxWindows, nil, "windows", ruleCount)
+	report.require(validName(selector.Name), selector.Name, "name", ruleName)
+	report.require(len(selector.Windows) <= maxWindows, nil, "windows", ruleCount)
 	checkLabels(selector.WorkerLabels, "workerLabels", report)
 	checkLabels(selector.ZoneLabels, "zoneLabels", report)
 }
 
 func checkWindow(window Window, report report) {
 	_, daysErr := parseDays(window.Days)
-	report.unless(daysErr == nil, window.Days, "days", ruleDays)
-	report.unless(unique(window.Days), nil, "days", ruleRepeats)
+	report.require(daysErr == nil, window.Days, "days", ruleDays)
+	report.require(unique(window.Days), nil, "days", ruleUnique)
 	from, fromValid := parseClock(window.From)
 	to, toValid := parseEnd(window.To)
-	report.unless(fromValid, window.From, "from", ruleClock)
-	report.unless(toValid, window.To, "to", ruleEnd)
-	report.unless(!fromValid || !toValid || from != to, window.From+" to "+window.To, "from", ruleSpan)
-	report.unless(window.TimeZone == "" || validTimeZone(window.TimeZone), window.TimeZone, "timeZone", ruleTimeZone)
+	report.require(fromValid, window.From, "from", ruleClock)
+	report.require(toValid, window.To, "to", ruleEnd)
+	report.require(!fromValid || !toValid || from != to, window.From+" to "+window.To, "from", ruleSpan)
+	report.require(window.TimeZone == "" || validTimeZone(window.TimeZone), window.TimeZone, "timeZone", ruleTimeZone)
 }
 
 func checkRoute(route Route, report report) {
-	report.unless(validName(route.Name), route.Name, "name", ruleName)
-	report.unless(route.Host == "" || validHost(route.Host), route.Host, "host", ruleHost)
-	report.unless(validPath(route.PathPrefix), route.PathPrefix, "pathPrefix", rulePath)
-	report.unless(priorities[route.Priority], route.Priority, "priority", rulePriority)
-	report.unless(len(route.Selectors) <= maxSelected, nil, "selectors", ruleCount)
-	report.unless(unique(route.Selectors), nil, "selectors", ruleRepeats)
-	report.unless(unique(route.Methods), nil, "methods", ruleRepeats)
+	report.require(validName(route.Name), route.Name, "name", ruleName)
+	report.require(route.Host == "" || validHost(route.Host), route.Host, "host", ruleHost)
+	report.require(validPath(route.PathPrefix), route.PathPrefix, "pathPrefix", rulePath)
+	report.require(priorities[route.Priority], route.Priority, "priority", rulePriority)
+	report.require(len(route.Selectors) <= maxRouteSelectors, nil, "selectors", ruleCount)
+	report.require(unique(route.Selectors), nil, "selectors", ruleUnique)
+	report.require(unique(route.Methods), nil, "methods", ruleUnique)
 	for _, method := range route.Methods {
 		if !methods[method] {
 			report(method, "methods", ruleMethods)
@@ -64,8 +64,8 @@
 }
 
 func checkSecret(secret Secret, report report) {
-	report.unless(validName(secret.Name), secret.Name, "name", ruleName)
-	report.unless(digestPattern.MatchString(secret.Digest), secret.Digest, "digest", ruleDigest)
+	report.require(validName(secret.Name), secret.Name, "name", ruleName)
+	report.require(digestPattern.MatchString(secret.Digest), secret.Digest, "digest", ruleDigest)
 }
 
 func checkLabels(labels Labels, field string, report report) {
--- a/internal/declaration/keys.go
+++ b/internal/declaration/keys.go
@@ -11,13 +11,14 @@
 	"sliphead/internal/fault"
 )
 
-// labelKeys are the fields whose objects hold labels.
+// labelKeys are the lower-case names of the fields whose values are labels.
 var labelKeys = []string{"labels", "workerlabels", "zonelabels"}
 
-// refuseRepeatedKeys refuses an object that names one field twice. The decoder
-// would mix the two values, and it takes fields without regard to case; keys
-// of labels are told apart by case. The data must be one valid document.
-func refuseRepeatedKeys(data []byte) error {
+// rejectDuplicateKeys returns an error if an object contains a field twice: the
+// JSON decoder would merge the two values. Field names are compared without regard
+// to case, as the decoder matches them; label keys are case-sensitive. The data
+// must be one valid JSON document.
+func rejectDuplicateKeys(data []byte) error {
 	walker := &keyWalker{decoder: json.NewDecoder(bytes.NewReader(data))}
 	for {
 		token, err := walker.decoder.Token()
@@ -29,71 +30,73 @@
 		}
 		if key, repeated := walker.step(token); repeated {
 			return fault.New(fault.Declaration, "keep one of the two",
-				"field %s is given twice, again before byte %d", quoted(key), walker.decoder.InputOffset())
+				"field %s is given twice, the second time before byte %d", quoted(key), walker.decoder.InputOffset())
 		}
 	}
 }
 
-// keyWalker follows the tokens of a document.
+// keyWalker detects duplicate keys in the token stream of a JSON document.
 type keyWalker struct {
-	decoder *json.Decoder
-	open    []container
+	decoder    *json.Decoder
+	containers []container // containers that enclose the current token, outermost first
 }
 
-// container is an object or array that has not ended.
+// container is an object or array whose end has not been read yet.
 type container struct {
 	isObject bool
 	isLabels bool
-	wantsKey bool
-	key      string // latest key of an object, folded unless it holds labels
+	wantsKey bool   // whether the next token of an object is a key
+	key      string // latest key of an object, case-folded unless the object holds labels
 	seen     map[string]bool
 }
 
-// step takes one token. It returns a key that the object at hand has already.
+// step processes one token. It returns the key when the innermost object already
+// contains it.
 func (w *keyWalker) step(token json.Token) (key string, repeated bool) {
 	if delimiter, isDelimiter := token.(json.Delim); isDelimiter {
-		w.delimit(delimiter)
+		w.handleDelimiter(delimiter)
 		return "", false
 	}
-	if len(w.open) == 0 {
+	if len(w.containers) == 0 {
 		return "", false
 	}
-	top := &w.open[len(w.open)-1]
+	top := &w.containers[len(w.containers)-1]
 	if !top.isObject || !top.wantsKey {
-		w.valueEnded()
+		w.endValue()
 		return "", false
 	}
-	return top.take(token.(string))
+	return top.addKey(token.(string))
 }
 
-func (w *keyWalker) delimit(delimiter json.Delim) {
+func (w *keyWalker) handleDelimiter(delimiter json.Delim) {
 	switch delimiter {
 	case '{':
-		w.open = append(w.open, container{isObject: true, isLabels: w.labelsNext(), wantsKey: true, seen: make(map[string]bool)})
+		w.containers = append(w.containers, container{isObject: true, isLabels: w.nextIsLabels(), wantsKey: true, seen: make(map[string]bool)})
 	case '[':
-		w.open = append(w.open, container{})
+		w.containers = append(w.containers, container{})
 	default:
-		w.open = w.open[:len(w.open)-1]
-		w.valueEnded()
+		w.containers = w.containers[:len(w.containers)-1]
+		w.endValue()
 	}
 }
 
-// labelsNext reports whether the value that starts holds labels.
-func (w *keyWalker) labelsNext() bool {
-	return len(w.open) > 0 && slices.Contains(labelKeys, w.open[len(w.open)-1].key)
+// nextIsLabels reports whether the value that starts now belongs to a label field.
+func (w *keyWalker) nextIsLabels() bool {
+	return len(w.containers) > 0 && slices.Contains(labelKeys, w.containers[len(w.containers)-1].key)
 }
 
-// valueEnded makes the object at hand expect its next key.
-func (w *keyWalker) valueEnded() {
-	if len(w.open) > 0 {
-		w.open[len(w.open)-1].wantsKey = true
+// endValue records that a value is complete and its object expects the next key.
+func (w *keyWalker) endValue() {
+	if len(w.containers) > 0 {
+		w.containers[len(w.containers)-1].wantsKey = true
 	}
 }
 
-func (c *container) take(key string) (string, bool) {
+// addKey adds a key to an object. It returns the key and true if it is a duplicate.
+func (c *container) addKey(key string) (string, bool) {
 	c.key = key
 	if !c.isLabels {
-		c.key = strings.ToLower(strings.ToUpper(key)) // as the decoder folds, the long s and the Kelvin sign too
+		c.key = strings.ToLower(strings.ToUpper(key)) // folds as encoding/json does, including the long s and the Kelvin sign
 	}
 	if c.seen[c.key] {
 		return key, true
--- a/internal/declaration/lines.go
+++ b/internal/declaration/lines.go
@@ -6,14 +6,14 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// maxNesting bounds how deep brackets or indents may nest in a file. The YAML
-// parser recurses, and declarations nest six deep.
+// maxNesting limits the nesting depth of brackets and the indentation in a file,
+// because the YAML parser is recursive. Declarations nest six levels deep.
 const maxNesting = 64
 
-// tooDeep reports the line on which a file nests beyond maxNesting. It counts
-// the open brackets, and the dashes and blanks before each line's text, without
-// regard to quotes and comments.
-func tooDeep(data []byte) (line int, deep bool) {
+// findExcessiveNesting returns the first line on which a file exceeds maxNesting. It counts
+// open brackets and, for each line, the indentation and indicator characters
+// before the text. Brackets within quotes and comments count too.
+func findExcessiveNesting(data []byte) (line int, deep bool) {
 	open := 0
 	for text := range bytes.Lines(data) {
 		line++
@@ -22,7 +22,7 @@
 			return line, true
 		}
 		for _, character := range text {
-			open = max(0, open+bracketStep(character))
+			open = max(0, open+bracketDelta(character))
 			if open > maxNesting {
 				return line, true
 			}
@@ -31,8 +31,8 @@
 	return 0, false
 }
 
-// bracketStep is what a character adds to the count of open brackets.
-func bracketStep(character byte) int {
+// bracketDelta returns the change that a character makes to the count of open brackets.
+func bracketDelta(character byte) int {
 	switch character {
 	case '[', '{':
 		return 1
@@ -43,18 +43,18 @@
 	}
 }
 
-// findReference returns the first node that stands for another one or names a
-// type, nil if there is none. Such nodes can grow a small file without bound.
-func findReference(root ast.Node) ast.Node {
-	finder := &referenceFinder{}
+// findAnchorOrTag returns the first anchor, alias, merge key or tag, nil if there is
+// none. Aliases would let a small file expand without bound.
+func findAnchorOrTag(root ast.Node) ast.Node {
+	finder := &anchorOrTagFinder{}
 	ast.Walk(finder, root)
 	return finder.found
 }
 
-type referenceFinder struct{ found ast.Node }
+type anchorOrTagFinder struct{ found ast.Node }
 
 // Visit implements ast.Visitor.
-func (f *referenceFinder) Visit(node ast.Node) ast.Visitor {
+func (f *anchorOrTagFinder) Visit(node ast.Node) ast.Visitor {
 	if f.found != nil {
 		return nil
 	}
@@ -67,14 +67,14 @@
 	}
 }
 
-// noteOrigins notes the line of each item of a file's lists. Call it before the
-// file's lists are joined to the document.
-func (l *loader) noteOrigins(file string, root ast.Node) {
+// recordOrigins records the file and line of each item of a file's lists. It must
+// be called before the file's lists are appended to the document.
+func (l *loader) recordOrigins(file string, root ast.Node) {
 	mapping, isMapping := root.(*ast.MappingNode)
 	if !isMapping {
 		return
 	}
-	held := l.lengths()
+	lengths := l.listLengths()
 	for _, entry := range mapping.Values {
 		key := list(entry.Key.GetToken().Value)
 		sequence, isSequence := entry.Value.(*ast.SequenceNode)
@@ -82,12 +82,12 @@
 			continue
 		}
 		for index, item := range sequence.Values {
-			l.origins[place{list: key, index: held[key] + index}] = origin{file: file, line: lineOf(item)}
+			l.origins[itemRef{list: key, index: lengths[key] + index}] = origin{file: file, line: lineOf(item)}
 		}
 	}
 }
 
-func (l *loader) lengths() map[list]int {
+func (l *loader) listLengths() map[list]int {
 	return map[list]int{
 		listZones:     len(l.document.Zones),
 		listServices:  len(l.document.Services),
--- a/internal/declaration/load.go
+++ b/internal/declaration/load.go
@@ -18,7 +18,7 @@
 	"sliphead/internal/fault"
 )
 
-// MaxFileBytes bounds one file of declarations.
+// MaxFileBytes is the maximum size of one declaration file.
 const MaxFileBytes = 1 << 20
 
 const (
@@ -26,16 +26,17 @@
 	remedyExtension = "rename it to end in .yaml, so that it is read"
 )
 
-// Load reads the files *.yaml of a directory, not of those below it, in the
-// order of their names, and joins their lists into one document. The findings
-// say what is wrong, sorted by file and line; the document is whole only when
-// there are none. The error says that the directory cannot be read.
+// Load reads the *.yaml files of a directory, without its subdirectories, in the
+// order of their names, and merges their lists into one document. The findings
+// are the problems found, sorted by file and line; the document is complete only
+// when there are none. The error is non-nil when the directory or a file cannot
+// be read.
 func Load(fsys fs.FS) (*Document, []Finding, error) {
 	entries, err := fs.ReadDir(fsys, ".")
 	if err != nil {
 		return nil, nil, fault.Wrap(err, fault.Declaration, "name a directory that can be read", "list the declarations")
 	}
-	loader := &loader{document: new(Document), origins: make(map[place]origin)}
+	loader := &loader{document: new(Document), origins: make(map[itemRef]origin)}
 	for _, entry := range entries {
 		if err := loader.readEntry(fsys, entry); err != nil {
 			return nil, nil, err
@@ -50,7 +51,7 @@
 	return loader.document, loader.findings, nil
 }
 
-// LoadValid is Load with one error for all findings.
+// LoadValid is like Load, but returns findings as one error of kind fault.Declaration.
 func LoadValid(fsys fs.FS) (*Document, error) {
 	document, findings, err := Load(fsys)
 	if err != nil {
@@ -62,18 +63,18 @@
 	return document, nil
 }
 
-// origin is where an item was read from.
+// origin is the position in a file from which an item was read.
 type origin struct {
 	file string
 	line int
 }
 
-// loader joins files.
+// loader merges declaration files into one document.
 type loader struct {
 	document  *Document
 	findings  []Finding
-	origins   map[place]origin
-	epochFile string // file that sets the epoch
+	origins   map[itemRef]origin // position of each item
+	epochFile string             // name of the file that sets the epoch, empty if none has
 }
 
 func (l *loader) add(at origin, remedy, format string, args ...any) {
@@ -86,7 +87,7 @@
 		return nil
 	}
 	if path.Ext(name) == ".yml" {
-		l.add(origin{file: name}, remedyExtension, "the file is not read")
+		l.add(origin{file: name}, remedyExtension, "the file is ignored because of its extension")
 		return nil
 	}
 	if path.Ext(name) != ".yaml" {
@@ -104,7 +105,8 @@
 	return nil
 }
 
-// readBounded reads one byte more than MaxFileBytes at most.
+// readBounded reads at most MaxFileBytes+1 bytes, so that the caller can detect
+// a file that is too large.
 func readBounded(fsys fs.FS, name string) ([]byte, error) {
 	file, err := fsys.Open(name)
 	if err != nil {
@@ -114,9 +116,9 @@
 	return io.ReadAll(io.LimitReader(file, MaxFileBytes+1))
 }
 
-// readFile adds one file to the document, or findings.
+// readFile merges one file into the document, or adds findings.
 func (l *loader) readFile(name string, data []byte) {
-	if line, deep := tooDeep(data); deep {
+	if line, deep := findExcessiveNesting(data); deep {
 		l.add(origin{file: name, line: line}, remedyYAML, "the file nests too deeply")
 		return
 	}
@@ -134,8 +136,8 @@
 		l.add(at, "move it to a file of its own", "the file holds more than one document")
 		return
 	}
-	if node := findReference(roots[0].Body); node != nil {
-		l.add(origin{file: name, line: lineOf(node)}, "write the value out", "anchors, aliases and tags are not read")
+	if node := findAnchorOrTag(roots[0].Body); node != nil {
+		l.add(origin{file: name, line: lineOf(node)}, "write the value out", "anchors, aliases and tags are not supported")
 		return
 	}
 	var part Document
@@ -143,8 +145,8 @@
 		l.addYAMLError(name, err)
 		return
 	}
-	l.noteOrigins(name, roots[0].Body)
-	l.join(name, &part)
+	l.recordOrigins(name, roots[0].Body)
+	l.merge(name, &part)
 }
 
 func (l *loader) addYAMLError(file string, err error) {
@@ -160,8 +162,8 @@
 	l.add(at, remedyYAML, "%s", what)
 }
 
-// join appends a file's lists. Only one file may set the epoch.
-func (l *loader) join(file string, part *Document) {
+// merge appends a file's lists to the document. Only one file may set the epoch.
+func (l *loader) merge(file string, part *Document) {
 	if part.Epoch != 0 {
 		if l.epochFile != "" {
 			l.add(origin{file: file}, "set the epoch in one file", "the epoch is set in %s as well", l.epochFile)
@@ -177,14 +179,15 @@
 	l.document.Secrets = append(l.document.Secrets, part.Secrets...)
 }
 
-// validate adds what Validate finds, with the file and line of each item, and a
-// document that no node would take for its length.
+// validate adds the findings of Validate, with the file and line of each item.
+// A document that exceeds MaxDocumentBytes when encoded as JSON is a finding too,
+// because nodes would reject it.
 func (l *loader) validate() {
 	if encoded, err := json.Marshal(l.document); err == nil && len(encoded) > MaxDocumentBytes {
-		l.add(origin{}, remedyTooLong, "the document has %d bytes as JSON, the bound is %d", len(encoded), MaxDocumentBytes)
+		l.add(origin{}, remedyTooLong, "the document has %d bytes as JSON, the maximum is %d", len(encoded), MaxDocumentBytes)
 	}
 	for _, finding := range Validate(l.document) {
-		at := l.origins[finding.place]
+		at := l.origins[finding.item]
 		finding.File, finding.Line = at.file, at.line
 		l.findings = append(l.findings, finding)
 	}
--- a/internal/declaration/parse.go
+++ b/internal/declaration/parse.go
@@ -9,30 +9,30 @@
 	"sliphead/internal/fault"
 )
 
-// MaxDocumentBytes bounds an encoded document.
+// MaxDocumentBytes is the maximum size of a document encoded as JSON.
 const MaxDocumentBytes = 8 << 20
 
 const (
-	remedyTooLong = "split the mesh or drop what is not used"
-	remedyJSON    = "serve one whole JSON document of declarations"
+	remedyTooLong = "split the mesh or remove unused declarations"
+	remedyJSON    = "serve one complete JSON document of declarations"
 )
 
-// maxShownFindings bounds how many findings one error spells out.
+// maxShownFindings is the maximum number of findings in the text of one error.
 const maxShownFindings = 3
 
-// Parse decodes one document from JSON and validates it. It refuses documents
-// over MaxDocumentBytes, unknown and repeated fields, anything after the document, and
-// whatever Validate finds. The errors are of kind fault.Declaration.
+// Parse decodes one document from JSON and validates it. It rejects documents
+// over MaxDocumentBytes, unknown or duplicate fields, data after the document, and
+// documents with findings of Validate. Its errors are of kind fault.Declaration.
 func Parse(data []byte) (*Document, error) {
 	if len(data) > MaxDocumentBytes {
 		return nil, fault.New(fault.Declaration, remedyTooLong,
-			"document has %d bytes, the bound is %d", len(data), MaxDocumentBytes)
+			"document has %d bytes, the maximum is %d", len(data), MaxDocumentBytes)
 	}
 	document, err := decode(data)
 	if err != nil {
 		return nil, err
 	}
-	if err := refuseRepeatedKeys(data); err != nil {
+	if err := rejectDuplicateKeys(data); err != nil {
 		return nil, err
 	}
 	if err := FindingsError(Validate(document)); err != nil {
@@ -55,7 +55,8 @@
 	return document, nil
 }
 
-// FindingsError returns one error for all findings, nil for none.
+// FindingsError returns one error of kind fault.Declaration for all findings, or
+// nil when there are none. Its text contains at most maxShownFindings findings.
 func FindingsError(findings []Finding) error {
 	if len(findings) == 0 {
 		return nil
@@ -65,6 +66,6 @@
 	for _, finding := range shown {
 		texts = append(texts, finding.String())
 	}
-	return fault.New(fault.Declaration, "run sliphead check on the declarations, mend each finding and publish again",
+	return fault.New(fault.Declaration, "run sliphead check on the declarations, fix each finding and publish again",
 		"findings: %d, first %s", len(findings), strings.Join(texts, "; "))
 }
--- a/internal/declaration/parse_test.go
+++ b/internal/declaration/parse_test.go
@@ -10,8 +10,8 @@
 	"sliphead/internal/fault"
 )
 
-// sound returns a document without findings.
-func sound() *Document {
+// validDocument returns a valid document.
+func validDocument() *Document {
 	return &Document{
 		Epoch: 1,
 		Zones: []Zone{
@@ -35,38 +35,38 @@
 	}
 }
 
-func encoded(t testing.TB, document *Document) []byte {
+func encodeJSON(t testing.TB, document *Document) []byte {
 	t.Helper()
 	data, err := json.Marshal(document)
 	must.NoError(t, err)
 	return data
 }
 
-func TestParseReturnsWhatWasEncoded(t *testing.T) {
-	document, err := Parse(encoded(t, sound()))
+func TestParseRoundTrip(t *testing.T) {
+	document, err := Parse(encodeJSON(t, validDocument()))
 	must.NoError(t, err)
-	must.Eq(t, sound(), document)
+	must.Eq(t, validDocument(), document)
 }
 
-func TestParseRefusesWithARemedy(t *testing.T) {
-	whole := string(encoded(t, sound()))
-	again := `"zones":[{"name":"edappally","region":"kochi","timeZone":"Asia/Kolkata"}]`
+func TestParseRejectsInvalidInputWithRemedy(t *testing.T) {
+	valid := string(encodeJSON(t, validDocument()))
+	duplicate := `"zones":[{"name":"edappally","region":"kochi","timeZone":"Asia/Kolkata"}]`
 	cases := map[string]struct{ data, what, remedy string }{
-		"nothing":         {"", "decode the document", remedyJSON},
-		"half":            {whole[:len(whole)/2], "unexpected EOF", remedyJSON},
+		"empty":           {"", "decode the document", remedyJSON},
+		"truncated":       {valid[:len(valid)/2], "unexpected EOF", remedyJSON},
 		"web page":        {"<html>", "invalid character", remedyJSON},
 		"list":            {"[]", "cannot unmarshal array", remedyJSON},
 		"null":            {"null", "has no zones", "declare at least one"},
 		"wrong type":      {`{"epoch":"1"}`, "cannot unmarshal string", remedyJSON},
 		"unknown field":   {`{"zonez":[]}`, `unknown field "zonez"`, remedyJSON},
-		"trailing":        {whole + "x", "the document ends at byte", "nothing after it"},
-		"second document": {whole + whole, "the document ends at byte", "nothing after it"},
-		"repeated":        {`{` + again + "," + whole[1:], `field "zones" is given twice`, "keep one"},
-		"repeated, cased": {`{` + again + "," + strings.Replace(whole[1:], `"zones"`, `"ZONES"`, 1), `field "ZONES" is given twice`, "keep one"},
-		"repeated, folded": {`{"secrets":[],` + strings.Replace(whole[1:], `"secrets"`, `"ſecretſ"`, 1),
+		"trailing data":   {valid + "x", "the document ends at byte", "nothing after it"},
+		"second document": {valid + valid, "the document ends at byte", "nothing after it"},
+		"repeated":        {`{` + duplicate + "," + valid[1:], `field "zones" is given twice`, "keep one"},
+		"repeated, cased": {`{` + duplicate + "," + strings.Replace(valid[1:], `"zones"`, `"ZONES"`, 1), `field "ZONES" is given twice`, "keep one"},
+		"repeated, folded": {`{"secrets":[],` + strings.Replace(valid[1:], `"secrets"`, `"ſecretſ"`, 1),
 			`field "ſecretſ" is given twice`, "keep one"},
-		"repeated label": {strings.Replace(whole, `"shift":"day"`, `"shift":"day","shift":"night"`, 1), `"shift" is given twice`, "keep one"},
-		"too long":       {strings.Repeat(" ", MaxDocumentBytes) + whole, "the bound is 8388608", remedyTooLong},
+		"repeated label": {strings.Replace(valid, `"shift":"day"`, `"shift":"day","shift":"night"`, 1), `"shift" is given twice`, "keep one"},
+		"too long":       {strings.Repeat(" ", MaxDocumentBytes) + valid, "the maximum is 8388608", remedyTooLong},
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -80,18 +80,19 @@
 	}
 }
 
-func TestParseTellsLabelsApartByCase(t *testing.T) {
-	document := sound()
+func TestParseKeepsLabelKeysCaseSensitive(t *testing.T) {
+	document := validDocument()
 	document.Workers[0].Labels = Labels{"a": "1", "A": "2"}
-	parsed, err := Parse(encoded(t, document))
+	parsed, err := Parse(encodeJSON(t, document))
 	must.NoError(t, err)
 	must.Eq(t, document, parsed)
 }
 
-// FuzzParse: what Parse takes is taken again in its own encoding, unchanged.
+// FuzzParse checks that a document accepted by Parse survives encoding and parsing
+// again without a change.
 func FuzzParse(f *testing.F) {
-	whole := encoded(f, sound())
-	for _, seed := range []string{"", "null", "{}", "[", `{"epoch":1e3}`, string(whole), string(whole) + "{}", string(whole[:200])} {
+	valid := encodeJSON(f, validDocument())
+	for _, seed := range []string{"", "null", "{}", "[", `{"epoch":1e3}`, string(valid), string(valid) + "{}", string(valid[:200])} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -100,8 +101,8 @@
 			must.ErrorContains(t, err, "remedy: ")
 			return
 		}
-		again, err := Parse(encoded(t, document))
+		again, err := Parse(encodeJSON(t, document))
 		must.NoError(t, err)
-		must.Eq(t, encoded(t, document), encoded(t, again))
+		must.Eq(t, encodeJSON(t, document), encodeJSON(t, again))
 	})
 }
--- a/internal/declaration/references.go
+++ b/internal/declaration/references.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-const remedyDuplicate = "rename one of them or drop it"
+const remedyDuplicate = "rename or remove one of them"
 
-// duplicates refuses two items of one list under one name.
-func (v *validation) duplicates() {
+// checkDuplicates reports items of a list that have the same name.
+func (v *validation) checkDuplicates() {
 	document := v.document
 	findDuplicates(v, listZones, document.Zones)
 	findDuplicates(v, listServices, document.Services)
@@ -22,99 +22,103 @@
 	seen := make(map[string]bool, len(items))
 	for index, item := range items {
 		if seen[item.name()] {
-			v.add(place{list: of, index: index}, remedyDuplicate, "%s is declared twice", title(of, item))
+			v.add(itemRef{list: of, index: index}, remedyDuplicate, "%s is declared twice", describeItem(of, item))
 		}
 		seen[item.name()] = true
 	}
 }
 
-// references refuses names of things that are not declared.
-func (v *validation) references() {
+// checkReferences reports names of services, zones, selectors and secrets that are not
+// declared.
+func (v *validation) checkReferences() {
 	document := v.document
-	zones := namesOf(document.Zones)
-	services := namesOf(document.Services)
-	secrets := namesOf(document.Secrets)
+	zones := nameSet(document.Zones)
+	services := nameSet(document.Services)
+	secrets := nameSet(document.Secrets)
 	for index, worker := range document.Workers {
-		at := place{list: listWorkers, index: index}
-		v.reference(at, worker, listServices, services, worker.Service)
-		v.reference(at, worker, listZones, zones, worker.Zone)
+		at := itemRef{list: listWorkers, index: index}
+		v.checkReference(at, worker, listServices, services, worker.Service)
+		v.checkReference(at, worker, listZones, zones, worker.Zone)
 	}
 	for index, selector := range document.Selectors {
-		v.reference(place{list: listSelectors, index: index}, selector, listServices, services, selector.Service)
+		v.checkReference(itemRef{list: listSelectors, index: index}, selector, listServices, services, selector.Service)
 	}
 	for index, route := range document.Routes {
-		at := place{list: listRoutes, index: index}
-		v.reference(at, route, listServices, services, route.Service)
+		at := itemRef{list: listRoutes, index: index}
+		v.checkReference(at, route, listServices, services, route.Service)
 		if route.Secret != "" {
-			v.reference(at, route, listSecrets, secrets, route.Secret)
+			v.checkReference(at, route, listSecrets, secrets, route.Secret)
 		}
 	}
-	v.routeSelectors()
+	v.checkRouteSelectors()
 }
 
-func (v *validation) reference(at place, from named, to list, declared map[string]bool, name string) {
+func (v *validation) checkReference(at itemRef, from named, to list, declared map[string]bool, name string) {
 	if name == "" || declared[name] {
-		return // an empty name is a finding of its own
+		return // an empty name is reported by the field rules
 	}
 	v.add(at, "declare it under "+string(to)+" or correct the name",
-		"%s names %s %s, which is not declared", title(at.list, from), kinds[to], quoted(name))
+		"%s names %s %s, which is not declared", describeItem(at.list, from), itemKinds[to], quoted(name))
 }
 
-// routeSelectors refuses selectors that are not declared or select workers of
-// another service than the route's.
-func (v *validation) routeSelectors() {
+// checkRouteSelectors reports selectors of routes that are not declared or belong to
+// another service than the route.
+func (v *validation) checkRouteSelectors() {
 	serviceOf := make(map[string]string, len(v.document.Selectors))
 	for _, selector := range v.document.Selectors {
 		serviceOf[selector.Name] = selector.Service
 	}
-	declared := namesOf(v.document.Selectors)
+	declared := nameSet(v.document.Selectors)
 	for index, route := range v.document.Routes {
-		at := place{list: listRoutes, index: index}
+		at := itemRef{list: listRoutes, index: index}
 		for _, name := range route.Selectors {
-			v.reference(at, route, listSelectors, declared, name)
+			v.checkReference(at, route, listSelectors, declared, name)
 			if declared[name] && serviceOf[name] != route.Service {
 				v.add(at, "name a selector of the route's own service",
 					"%s of service %s names selector %s of service %s",
-					title(listRoutes, route), quoted(route.Service), quoted(name), quoted(serviceOf[name]))
+					describeItem(listRoutes, route), quoted(route.Service), quoted(name), quoted(serviceOf[name]))
 			}
 		}
 	}
 }
 
-// routeMatch is what tells routes apart, for one method.
+// routeMatch is the combination of host, path prefix and method that a route
+// matches. An empty method stands for all methods.
 type routeMatch struct{ host, prefix, method string }
 
-// ambiguities refuses two routes that match the same requests equally well.
-func (v *validation) ambiguities() {
-	holder := make(map[routeMatch]string)
-	anyMethod := make(map[routeMatch]string)
+// checkAmbiguities reports pairs of routes that match the same requests with the same
+// precedence.
+func (v *validation) checkAmbiguities() {
+	routeByMatch := make(map[routeMatch]string)
+	routeForAllMethods := make(map[routeMatch]string)
 	for index, route := range v.document.Routes {
-		at := place{list: listRoutes, index: index}
+		at := itemRef{list: listRoutes, index: index}
 		for _, match := range matchesOf(route) {
-			held, found := holder[match]
+			other, found := routeByMatch[match]
 			if !found && match.method != "" {
-				held, found = anyMethod[routeMatch{host: match.host, prefix: match.prefix}]
+				other, found = routeForAllMethods[routeMatch{host: match.host, prefix: match.prefix}]
 			}
-			if found && held != route.Name {
+			if found && other != route.Name {
 				v.add(at, "give them different hosts, prefixes or methods",
-					"routes %s and %s match the same requests", quoted(held), quoted(route.Name))
+					"routes %s and %s match the same requests", quoted(other), quoted(route.Name))
 				break
 			}
 		}
-		v.note(route, holder, anyMethod)
+		v.recordMatches(route, routeByMatch, routeForAllMethods)
 	}
 }
 
-// note remembers what a route matches. A route for some methods also stands in
-// the way of a later one for all.
-func (v *validation) note(route Route, holder, anyMethod map[routeMatch]string) {
+// recordMatches records the matches of a route. A route for specific methods is also
+// recorded under the empty method, so that a later route for all methods conflicts
+// with it.
+func (v *validation) recordMatches(route Route, routeByMatch, routeForAllMethods map[routeMatch]string) {
 	for _, match := range matchesOf(route) {
-		holder[match] = route.Name
+		routeByMatch[match] = route.Name
 		if match.method == "" {
-			anyMethod[match] = route.Name
+			routeForAllMethods[match] = route.Name
 			continue
 		}
-		holder[routeMatch{host: match.host, prefix: match.prefix}] = route.Name
+		routeByMatch[routeMatch{host: match.host, prefix: match.prefix}] = route.Name
 	}
 }
 
@@ -129,7 +133,7 @@
 	return matches
 }
 
-func namesOf[T named](items []T) map[string]bool {
+func nameSet[T named](items []T) map[string]bool {
 	names := make(map[string]bool, len(items))
 	for _, item := range items {
 		names[item.name()] = true
--- a/internal/declaration/schedule.go
+++ b/internal/declaration/schedule.go
@@ -8,12 +8,12 @@
 	"sliphead/internal/fault"
 )
 
-// The remedies for faults of schedules.
+// Remedies for invalid schedules.
 const (
-	remedyTimeZone = "use an IANA name such as Asia/Kolkata"
-	remedyClock    = "write HH:MM from 00:00 to 23:59, or 24:00 as an end"
-	remedyDay      = "use mon, tue, wed, thu, fri, sat or sun"
-	remedyEmpty    = "make the end differ from the start; use 00:00 to 24:00 for the whole day"
+	remedyTimeZone    = "use an IANA name such as Asia/Kolkata"
+	remedyClock       = "write HH:MM from 00:00 to 23:59, or 24:00 as an end"
+	remedyDay         = "use mon, tue, wed, thu, fri, sat or sun"
+	remedyEmptyWindow = "make the end differ from the start; use 00:00 to 24:00 for the whole day"
 )
 
 const (
@@ -23,7 +23,7 @@
 	everyDay       = daySet(1<<daysPerWeek - 1)
 )
 
-// daySet holds a bit for each time.Weekday.
+// daySet is a bit set of time.Weekday values.
 type daySet uint8
 
 func (d daySet) has(day time.Weekday) bool { return d&(1<<day) != 0 }
@@ -35,21 +35,22 @@
 
 var clockPattern = regexp.MustCompile(`^([01][0-9]|2[0-3]):[0-5][0-9]$`)
 
-// endOfDay is allowed as the end of a window, so that a window can reach to
-// the last minute of its day.
+// endOfDay is accepted as the end of a window, so that a window can include the
+// last minute of its day.
 const endOfDay = "24:00"
 
-// Schedule is a window in one time zone, ready to be evaluated. It is
-// comparable: equal schedules are open at the same moments.
+// Schedule is a parsed window in one time zone. It is comparable: equal schedules
+// are open at the same moments.
 type Schedule struct {
 	days     daySet
-	from     int // minute of the day, included
-	to       int // minute of the day, excluded
+	from     int // minute of the day, inclusive
+	to       int // minute of the day, exclusive
 	location *time.Location
 }
 
-// NewSchedule prepares a window. A window that names no time zone takes that
-// of the worker's zone.
+// NewSchedule parses a window. zoneTimeZone is the time zone of the worker's zone,
+// which applies when the window has none of its own. The error is of kind
+// fault.Declaration.
 func NewSchedule(window Window, zoneTimeZone string) (Schedule, error) {
 	name := window.TimeZone
 	if name == "" {
@@ -66,23 +67,23 @@
 	from, fromValid := parseClock(window.From)
 	to, toValid := parseEnd(window.To)
 	if !fromValid || !toValid {
-		return Schedule{}, fault.New(fault.Declaration, remedyClock, "window from %q to %q is no span of time", window.From, window.To)
+		return Schedule{}, fault.New(fault.Declaration, remedyClock, "window from %q to %q has a malformed time", window.From, window.To)
 	}
 	if from == to {
-		return Schedule{}, fault.New(fault.Declaration, remedyEmpty, "window from %s to %s starts and ends at one time", window.From, window.To)
+		return Schedule{}, fault.New(fault.Declaration, remedyEmptyWindow, "window from %s to %s starts and ends at the same time", window.From, window.To)
 	}
 	return Schedule{days: days, from: from, to: to, location: location}, nil
 }
 
 // Open reports whether the schedule is open at a moment.
 //
-// It goes by the local wall clock alone: the window is open when the weekday
-// and the minute that a clock on the wall shows lie within it. A window that
-// crosses midnight belongs to the day on which it starts. Where the clock is
-// set forward, the minutes it skips never occur: a window within them does not
-// open that day, and one that begins or ends in them begins or ends at the
-// change. Where the clock is set back, the minutes shown twice count twice: a
-// window within them opens twice, and one across them lasts longer.
+// Only the local wall clock counts: the schedule is open when the local weekday
+// and minute lie within the window. A window that crosses midnight belongs to the
+// day on which it starts. When the clock is set forward, the skipped minutes do
+// not occur: a window within them does not open that day, and one that starts or
+// ends in them starts or ends at the change. When the clock is set back, the
+// repeated minutes count twice: a window within them opens twice, and one that
+// contains them lasts longer.
 func (s Schedule) Open(at time.Time) bool {
 	local := at.In(s.location)
 	return s.openAtWallClock(local.Weekday(), local.Hour()*minutesPerHour+local.Minute())
@@ -96,9 +97,9 @@
 	return s.days.has(day) && minute >= s.from || s.days.has(dayBefore) && minute < s.to
 }
 
-// Open reports whether a window is open at a moment, for a worker whose zone
-// has the time zone given. A malformed window is never open. See Schedule.Open
-// for the changes of daylight saving time.
+// Open reports whether a window is open at a moment for a worker in a zone with the
+// time zone zoneTimeZone. A malformed window is never open. See Schedule.Open for
+// the behaviour at daylight saving time changes.
 func Open(window Window, at time.Time, zoneTimeZone string) bool {
 	schedule, err := NewSchedule(window, zoneTimeZone)
 	return err == nil && schedule.Open(at)
@@ -119,16 +120,17 @@
 	return days, nil
 }
 
-// parseClock returns the minute of the day of HH:MM.
+// parseClock parses HH:MM and returns the minute of the day.
 func parseClock(text string) (int, bool) {
 	if !clockPattern.MatchString(text) {
 		return 0, false
 	}
-	hour, _ := strconv.Atoi(text[:2]) // the pattern admits digits only
+	hour, _ := strconv.Atoi(text[:2]) // cannot fail: the pattern admits only digits
 	minute, _ := strconv.Atoi(text[3:])
 	return hour*minutesPerHour + minute, true
 }
 
+// parseEnd is like parseClock, but also accepts endOfDay.
 func parseEnd(text string) (int, bool) {
 	if text == endOfDay {
 		return minutesPerDay, true
--- a/internal/declaration/schedule_test.go
+++ b/internal/declaration/schedule_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the property tests and gives the process a host
-// time zone database that disagrees with ours.
+// TestMain fixes the seed of the property tests and replaces the host's time zone
+// database by one that differs from the embedded one.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "100", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -32,8 +32,8 @@
 	os.Exit(code)
 }
 
-// writeHostDatabase makes a database in which Asia/Kolkata is UTC, and which
-// holds a zone that ours lacks.
+// writeHostDatabase writes a time zone database in which Asia/Kolkata is UTC, and
+// which contains a zone that the embedded one lacks.
 func writeHostDatabase(directory string) {
 	reader, err := zip.OpenReader("zoneinfo.zip")
 	if err != nil {
@@ -56,15 +56,15 @@
 	}
 }
 
-func TestTimeZonesAreThoseOfTheProgram(t *testing.T) {
+func TestLoadLocationUsesEmbeddedDatabase(t *testing.T) {
 	host, err := time.LoadLocation("Asia/Kolkata")
 	must.NoError(t, err)
 	_, offset := time.Unix(0, 0).In(host).Zone()
-	must.Zero(t, offset) // the host's database is the one that TestMain made
+	must.Zero(t, offset) // confirms that the host's database is the one written by TestMain
 
-	ours, err := LoadLocation("Asia/Kolkata")
+	embedded, err := LoadLocation("Asia/Kolkata")
 	must.NoError(t, err)
-	_, offset = time.Unix(0, 0).In(ours).Zone()
+	_, offset = time.Unix(0, 0).In(embedded).Zone()
 	must.Eq(t, 19_800, offset)
 	for _, name := range []string{"Test/OnlyHere", "Local", "", "asia/kolkata", "../zoneinfo", "Asia/"} {
 		_, err = LoadLocation(name)
@@ -93,8 +93,8 @@
 		"zone of the window first":  {Window{From: "09:00", To: "10:00", TimeZone: "Asia/Kolkata"}, "Asia/Kuala_Lumpur", "2026-12-04T09:30:00+05:30", true},
 		"last minute of a day":      {wholeDay, "Asia/Kolkata", "2026-12-05T23:59:59+05:30", true},
 		"next day":                  {wholeDay, "Asia/Kolkata", "2026-12-06T00:00:00+05:30", false},
-		"skipped, before":           {gap, "Europe/London", "2026-03-29T00:59:59Z", false},
-		"skipped, after":            {gap, "Europe/London", "2026-03-29T01:00:00Z", false},
+		"within skipped, before":    {gap, "Europe/London", "2026-03-29T00:59:59Z", false},
+		"within skipped, after":     {gap, "Europe/London", "2026-03-29T01:00:00Z", false},
 		"starts in skipped, before": {morning, "Europe/London", "2026-03-29T00:59:59Z", false},
 		"starts in skipped, at":     {morning, "Europe/London", "2026-03-29T01:00:00Z", true},
 		"shown twice, first":        {gap, "Europe/London", "2026-10-25T00:30:00Z", true},
@@ -115,8 +115,8 @@
 
 var zoneNames = []string{"Asia/Kolkata", "Asia/Kuala_Lumpur", "Europe/London", "America/New_York", "Australia/Lord_Howe"}
 
-// drawWindow draws a window whose times are close to changes of daylight saving
-// time as often as not.
+// drawWindow draws a window. About half of its times lie between 00:00 and 04:00,
+// where daylight saving time changes.
 func drawWindow(t *rapid.T) Window {
 	minute := rapid.OneOf(rapid.IntRange(0, 4*60), rapid.IntRange(0, minutesPerDay-1))
 	clock := func(minute int) string { return time.Time{}.Add(time.Duration(minute) * time.Minute).Format("15:04") }
@@ -126,8 +126,8 @@
 	return Window{Days: days, From: clock(from), To: clock(to)}
 }
 
-// drawStart draws a moment within some days before a change of daylight saving
-// time in one of the zones, or any moment of the year.
+// drawStart draws a moment within the two days before a daylight saving time change
+// in one of the zones.
 func drawStart(t *rapid.T) time.Time {
 	changes := []string{"2026-03-08T07:00:00Z", "2026-03-29T01:00:00Z", "2026-04-04T15:00:00Z", "2026-10-03T15:30:00Z", "2026-10-25T01:00:00Z", "2026-11-01T06:00:00Z"}
 	change, err := time.Parse(time.RFC3339, rapid.SampledFrom(changes).Draw(t, "change"))
@@ -135,8 +135,8 @@
 	return change.Add(-time.Duration(rapid.IntRange(0, 2*minutesPerDay).Draw(t, "minutes before")) * time.Minute)
 }
 
-// oracleOpen lays the windows of yesterday and today on a calendar without a
-// time zone, and looks for what the clock on the wall shows.
+// oracleOpen is a reference implementation of Open. It represents the wall clock
+// time and the windows of the current and previous day in UTC and compares them.
 func oracleOpen(window Window, at time.Time, location *time.Location) bool {
 	year, month, date := at.In(location).Date()
 	shown := time.Date(year, month, date, at.In(location).Hour(), at.In(location).Minute(), 0, 0, time.UTC)
@@ -160,8 +160,8 @@
 	return false
 }
 
-// TestOpenAndBoundariesAgreeWithTheOracle walks some days minute by minute.
-func TestOpenAndBoundariesAgreeWithTheOracle(t *testing.T) {
+// Compares Open and Boundaries with oracleOpen at each minute of three days.
+func TestOpenAndBoundariesMatchOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := drawWindow(t)
 		zone := rapid.SampledFrom(zoneNames).Draw(t, "zone")
@@ -187,8 +187,8 @@
 	})
 }
 
-func TestBoundariesJoinZonesAndSelectors(t *testing.T) {
-	document := sound()
+func TestBoundariesCombineZonesAndSelectors(t *testing.T) {
+	document := validDocument()
 	document.Selectors[1].Windows = []Window{{From: "09:00", To: "24:00", Days: []string{"mon"}}}
 	from := time.Date(2026, 12, 6, 12, 0, 0, 0, time.UTC) // a Sunday
 	var shown []string
--- a/internal/declaration/selector.go
+++ b/internal/declaration/selector.go
@@ -2,32 +2,34 @@
 
 import "time"
 
-// Holds reports whether the labels hold all of the wanted pairs.
-func (l Labels) Holds(wanted Labels) bool {
+// ContainsAll reports whether the labels contain all of the wanted pairs.
+func (l Labels) ContainsAll(wanted Labels) bool {
 	for key, value := range wanted {
-		held, found := l[key]
-		if !found || held != value {
+		actual, found := l[key]
+		if !found || actual != value {
 			return false
 		}
 	}
 	return true
 }
 
-// MatchesZone reports whether the selector admits workers of the zone.
-func (s *Selector) MatchesZone(zone Zone) bool { return zone.Labels.Holds(s.ZoneLabels) }
+// MatchesZone reports whether the zone's labels match the selector.
+func (s *Selector) MatchesZone(zone Zone) bool { return zone.Labels.ContainsAll(s.ZoneLabels) }
 
-// MatchesWorker reports whether the selector admits the worker, whatever its
-// zone and the time.
+// MatchesWorker reports whether the worker's service and labels match the selector.
+// It doesn't check the worker's zone and the windows.
 func (s *Selector) MatchesWorker(worker Worker) bool {
-	return worker.Service == s.Service && worker.Labels.Holds(s.WorkerLabels)
+	return worker.Service == s.Service && worker.Labels.ContainsAll(s.WorkerLabels)
 }
 
-// Selects reports whether the selector selects a worker of a zone at a moment.
+// Selects reports whether the selector selects a worker at a moment. The result is
+// false when zone is not the worker's zone.
 func (s *Selector) Selects(worker Worker, zone Zone, at time.Time) bool {
 	return worker.Zone == zone.Name && s.MatchesWorker(worker) && s.MatchesZone(zone) && s.open(zone, at)
 }
 
-// open reports whether a window of the selector is open for workers of a zone.
+// open reports whether a window of the selector is open at a moment for workers of
+// a zone, or the selector has no windows.
 func (s *Selector) open(zone Zone, at time.Time) bool {
 	if len(s.Windows) == 0 {
 		return true
@@ -40,8 +42,8 @@
 	return false
 }
 
-// Schedules prepares the selector's windows for a zone. It is empty when the
-// selector is always open.
+// Schedules returns the selector's windows as schedules for workers of a zone. The
+// result is empty when the selector has no windows and is always open.
 func (s *Selector) Schedules(zone Zone) ([]Schedule, error) {
 	schedules := make([]Schedule, 0, len(s.Windows))
 	for _, window := range s.Windows {
--- a/internal/declaration/timezone.go
+++ b/internal/declaration/timezone.go
@@ -11,16 +11,17 @@
 	"sliphead/internal/fault"
 )
 
-// zoneinfo is the IANA time zone database as the Go distribution packs it
-// (lib/time/zoneinfo.zip). It is embedded, and no other copy is ever read:
-// time.LoadLocation prefers the host's database, also when time/tzdata is
-// linked in, so two hosts could reach different verdicts on one version.
+// zoneinfo is the IANA time zone database as packaged by the Go distribution
+// (lib/time/zoneinfo.zip). Only this embedded copy is used: time.LoadLocation
+// prefers the host's database even when time/tzdata is linked in, so two hosts
+// could validate or evaluate the same version differently.
 //
 //go:embed zoneinfo.zip
 var zoneinfo []byte
 
-// zoneFiles opens the embedded database once. Its map is never written again.
-var zoneFiles = sync.OnceValues(func() (map[string]*zip.File, error) {
+// openZoneinfo opens the embedded database on the first call and returns its files by
+// name. The map must not be modified.
+var openZoneinfo = sync.OnceValues(func() (map[string]*zip.File, error) {
 	reader, err := zip.NewReader(bytes.NewReader(zoneinfo), int64(len(zoneinfo)))
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "build again from a clean checkout", "open the embedded time zone database")
@@ -34,17 +35,18 @@
 	return files, nil
 })
 
-// locations caches the loaded time zones: string to *time.Location. It holds at
-// most as many entries as the embedded database.
+// locations caches loaded time zones: string to *time.Location. It cannot grow
+// beyond the number of entries in the embedded database.
 var locations sync.Map
 
-// LoadLocation returns the time zone of an IANA name from the database that is
-// part of the program. The names "" and "Local" are refused.
+// LoadLocation returns the time zone with an IANA name from the embedded database,
+// the same pointer on each call. It rejects the names "" and "Local". It is safe
+// for concurrent use.
 func LoadLocation(name string) (*time.Location, error) {
 	if cached, found := locations.Load(name); found {
 		return cached.(*time.Location), nil
 	}
-	files, err := zoneFiles()
+	files, err := openZoneinfo()
 	if err != nil {
 		return nil, err
 	}
@@ -60,8 +62,8 @@
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "build again from a clean checkout", "decode time zone %q", name)
 	}
-	kept, _ := locations.LoadOrStore(name, location) // one pointer a name, so that schedules compare
-	return kept.(*time.Location), nil
+	stored, _ := locations.LoadOrStore(name, location) // one pointer per name, so that equal schedules compare equal
+	return stored.(*time.Location), nil
 }
 
 func readAll(file *zip.File) ([]byte, error) {
--- a/internal/declaration/validate.go
+++ b/internal/declaration/validate.go
@@ -5,8 +5,7 @@
 	"slices"
 )
 
-// The bounds on the length of each list. They leave room for ten times the
-// size that the system is designed for.
+// Maximum lengths of the lists: ten times the size that the system is designed for.
 const (
 	maxZones     = 64
 	maxServices  = 500
@@ -16,31 +15,32 @@
 	maxSecrets   = 1_000
 )
 
-// maxFindings bounds the memory that a document full of faults can claim.
+// maxFindings limits the memory that the findings of an invalid document take.
 const maxFindings = 1_000
 
-// Validate returns what is wrong with a document, sorted, nil for a sound one.
-// The verdict depends on the document alone: it is the same on every node.
+// Validate returns the problems of a document, sorted, at most maxFindings. It
+// returns none for a valid document. The result depends on the document alone, so
+// that all nodes reach the same one.
 func Validate(document *Document) []Finding {
-	check := &validation{document: document}
-	check.counts()
-	if len(check.findings) > 0 {
-		return check.sorted()
+	v := &validation{document: document}
+	v.checkCounts()
+	if len(v.findings) > 0 {
+		return v.sorted()
 	}
-	check.fields()
-	check.relations()
-	return check.sorted()
+	v.checkFields()
+	v.checkRelations()
+	return v.sorted()
 }
 
-// ValidateRelations is Validate for a document whose items are each known to be
-// sound by ValidItem: it looks only at how they relate.
+// ValidateRelations is like Validate, but skips the checks of single items. Use it
+// for a document whose items have all passed ValidItem.
 func ValidateRelations(document *Document) []Finding {
-	check := &validation{document: document}
-	check.counts()
-	if len(check.findings) == 0 {
-		check.relations()
+	v := &validation{document: document}
+	v.checkCounts()
+	if len(v.findings) == 0 {
+		v.checkRelations()
 	}
-	return check.sorted()
+	return v.sorted()
 }
 
 // Item is one declared item.
@@ -48,29 +48,29 @@
 	Zone | Service | Worker | Selector | Route | Secret
 }
 
-// ValidItem reports whether an item keeps the rules on single items.
-func ValidItem[T Item](item T) bool { return len(fieldFaults(item)) == 0 }
+// ValidItem reports whether an item satisfies the rules for single items.
+func ValidItem[T Item](item T) bool { return len(violations(item)) == 0 }
 
-// relations applies the rules on how items relate.
-func (v *validation) relations() {
-	v.duplicates()
-	v.references()
-	v.ambiguities()
+// checkRelations checks the rules that involve more than one item.
+func (v *validation) checkRelations() {
+	v.checkDuplicates()
+	v.checkReferences()
+	v.checkAmbiguities()
 }
 
-// validation gathers findings on one document.
+// validation collects the findings of one document.
 type validation struct {
 	document *Document
 	findings []Finding
 }
 
-// add notes a finding, and drops it when there are maxFindings already: the
-// document is refused all the same.
-func (v *validation) add(at place, remedy, format string, args ...any) {
+// add records a finding. Findings beyond maxFindings are dropped; the document is
+// rejected anyway.
+func (v *validation) add(at itemRef, remedy, format string, args ...any) {
 	if len(v.findings) >= maxFindings {
 		return
 	}
-	v.findings = append(v.findings, Finding{What: fmt.Sprintf(format, args...), Remedy: remedy, place: at})
+	v.findings = append(v.findings, Finding{What: fmt.Sprintf(format, args...), Remedy: remedy, item: at})
 }
 
 func (v *validation) sorted() []Finding {
@@ -78,28 +78,29 @@
 	return slices.Compact(v.findings)
 }
 
-// counts bounds the lists before anything walks them.
-func (v *validation) counts() {
+// checkCounts checks the lengths of the lists. It runs before the checks that iterate
+// over the lists.
+func (v *validation) checkCounts() {
 	document := v.document
-	v.count(listZones, len(document.Zones), 1, maxZones)
-	v.count(listServices, len(document.Services), 1, maxServices)
-	v.count(listWorkers, len(document.Workers), 0, maxWorkers)
-	v.count(listSelectors, len(document.Selectors), 0, maxSelectors)
-	v.count(listRoutes, len(document.Routes), 0, maxRoutes)
-	v.count(listSecrets, len(document.Secrets), 0, maxSecrets)
+	v.checkCount(listZones, len(document.Zones), 1, maxZones)
+	v.checkCount(listServices, len(document.Services), 1, maxServices)
+	v.checkCount(listWorkers, len(document.Workers), 0, maxWorkers)
+	v.checkCount(listSelectors, len(document.Selectors), 0, maxSelectors)
+	v.checkCount(listRoutes, len(document.Routes), 0, maxRoutes)
+	v.checkCount(listSecrets, len(document.Secrets), 0, maxSecrets)
 }
 
-func (v *validation) count(of list, length, least, most int) {
-	if length < least {
-		v.add(place{}, fmt.Sprintf("declare at least one under %s", of), "the document has no %s", of)
+func (v *validation) checkCount(of list, length, minimum, maximum int) {
+	if length < minimum {
+		v.add(itemRef{}, fmt.Sprintf("declare at least one under %s", of), "the document has no %s", of)
 	}
-	if length > most {
-		v.add(place{}, remedyTooLong, "the document has %d %s, the bound is %d", length, of, most)
+	if length > maximum {
+		v.add(itemRef{}, remedyTooLong, "the document has %d %s, the maximum is %d", length, of, maximum)
 	}
 }
 
-// fields applies the rules on single fields to each item.
-func (v *validation) fields() {
+// checkFields checks each item against the rules for single fields.
+func (v *validation) checkFields() {
 	document := v.document
 	validateItems(v, listZones, document.Zones)
 	validateItems(v, listServices, document.Services)
@@ -111,16 +112,16 @@
 
 func validateItems[T named](v *validation, of list, items []T) {
 	for index, item := range items {
-		for _, fault := range fieldFaults(item) {
-			v.add(place{list: of, index: index}, fault.remedy, "%s: %s", title(of, item), fault.what)
+		for _, fault := range violations(item) {
+			v.add(itemRef{list: of, index: index}, fault.remedy, "%s: %s", describeItem(of, item), fault.what)
 		}
 	}
 }
 
-// title names an item in messages.
-func title(of list, item named) string { return kinds[of] + " " + quoted(item.name()) }
+// describeItem returns the kind and name of an item for messages.
+func describeItem(of list, item named) string { return itemKinds[of] + " " + quoted(item.name()) }
 
-// named is any declared item.
+// named is implemented by all declared items.
 type named interface{ name() string }
 
 func (z Zone) name() string     { return z.Name }
--- a/internal/declaration/validate_test.go
+++ b/internal/declaration/validate_test.go
@@ -9,14 +9,14 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestValidateNamesWhatIsWrongAndTheRemedy(t *testing.T) {
+func TestValidateReportsProblemAndRemedy(t *testing.T) {
 	cases := map[string]struct {
-		spoil        func(d *Document)
+		corrupt      func(d *Document)
 		what, remedy string
 	}{
 		"no zones":            {func(d *Document) { d.Zones = nil }, "the document has no zones", "declare at least one under zones"},
 		"no services":         {func(d *Document) { d.Services = nil }, "the document has no services", "declare at least one under services"},
-		"too many secrets":    {func(d *Document) { d.Secrets = make([]Secret, maxSecrets+1) }, "has 1001 secrets, the bound is 1000", remedyTooLong},
+		"too many secrets":    {func(d *Document) { d.Secrets = make([]Secret, maxSecrets+1) }, "has 1001 secrets, the maximum is 1000", remedyTooLong},
 		"zone without region": {func(d *Document) { d.Zones[0].Region = "" }, `zone "edappally": region is missing`, "fill it in"},
 		"zone time zone":      {func(d *Document) { d.Zones[0].TimeZone = "IST" }, `zone "edappally": timeZone "IST" is not valid`, remedyTimeZone},
 		"name":                {func(d *Document) { d.Services[1].Name = "Pre press" }, `service "Pre press": name "Pre press" is not valid`, "lower-case"},
@@ -25,18 +25,18 @@
 		"no slots":            {func(d *Document) { d.Workers[0].Slots = 0 }, "slots is 0, the bound is 1", "raise it"},
 		"many slots":          {func(d *Document) { d.Workers[0].Slots = maxCapacity + 1 }, "slots 100001 is out of bounds", "at most 100000"},
 		"label":               {func(d *Document) { d.Workers[0].Labels = Labels{"": "day"} }, `labels ": day" is not valid`, "letters"},
-		"labels":              {func(d *Document) { d.Zones[0].Labels = manyLabels(maxLabels + 1) }, "labels has too many entries", "drop"},
+		"labels":              {func(d *Document) { d.Zones[0].Labels = manyLabels(maxLabels + 1) }, "labels has too many entries", "remove"},
 		"worker's service":    {func(d *Document) { d.Workers[0].Service = "shop" }, `worker "storefront-1" names service "shop", which is not declared`, "declare it under services"},
 		"worker's zone":       {func(d *Document) { d.Workers[0].Zone = "kakkanad" }, `names zone "kakkanad"`, "declare it under zones"},
 		"selector's service":  {func(d *Document) { d.Selectors[0].Service = "shop" }, `selector "day" names service "shop"`, "declare it under services"},
 		"day":                 {func(d *Document) { d.Selectors[0].Windows[0].Days[0] = "Mon" }, `windows[0].days "[Mon]" is not valid`, remedyDay},
-		"day twice":           {func(d *Document) { d.Selectors[0].Windows[0].Days = []string{"mon", "mon"} }, "windows[0].days names one thing twice", "once"},
+		"day twice":           {func(d *Document) { d.Selectors[0].Windows[0].Days = []string{"mon", "mon"} }, "windows[0].days has duplicate entries", "once"},
 		"start":               {func(d *Document) { d.Selectors[0].Windows[0].From = "24:00" }, `windows[0].from "24:00" is not valid`, remedyClock},
 		"end":                 {func(d *Document) { d.Selectors[0].Windows[0].To = "9:30" }, `windows[0].to "9:30" is not valid`, remedyClock},
 		"no end":              {func(d *Document) { d.Selectors[0].Windows[0].To = "" }, "windows[0].to is missing", "fill it in"},
-		"empty window":        {func(d *Document) { d.Selectors[0].Windows[0].To = "09:00" }, `windows[0].from "09:00 to 09:00" is not valid`, remedyEmpty},
+		"empty window":        {func(d *Document) { d.Selectors[0].Windows[0].To = "09:00" }, `windows[0].from "09:00 to 09:00" is not valid`, remedyEmptyWindow},
 		"window's time zone":  {func(d *Document) { d.Selectors[0].Windows[0].TimeZone = "Local" }, `windows[0].timeZone "Local" is not valid`, remedyTimeZone},
-		"windows":             {func(d *Document) { d.Selectors[0].Windows = make([]Window, maxWindows+1) }, "windows has too many entries", "drop"},
+		"windows":             {func(d *Document) { d.Selectors[0].Windows = make([]Window, maxWindows+1) }, "windows has too many entries", "remove"},
 		"prefix":              {func(d *Document) { d.Routes[0].PathPrefix = "orders" }, `pathPrefix "orders" is not valid`, "begin with /"},
 		"prefix end":          {func(d *Document) { d.Routes[0].PathPrefix = "/orders/" }, `pathPrefix "/orders/" is not valid`, "end without one"},
 		"prefix dots":         {func(d *Document) { d.Routes[0].PathPrefix = "/a/../b" }, `pathPrefix "/a/../b" is not valid`, "leave out"},
@@ -60,8 +60,8 @@
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
-			document := sound()
-			each.spoil(document)
+			document := validDocument()
+			each.corrupt(document)
 			findings := Validate(document)
 			matches := slices.ContainsFunc(findings, func(f Finding) bool {
 				return strings.Contains(f.What, each.what) && strings.Contains(f.Remedy, each.remedy)
@@ -83,8 +83,8 @@
 	return labels
 }
 
-func TestValidateTakesRoutesThatDifferByMethodOrHost(t *testing.T) {
-	document := sound()
+func TestValidateAcceptsRoutesThatDifferByMethodOrHost(t *testing.T) {
+	document := validDocument()
 	document.Routes[1].PathPrefix = "/orders"
 	document.Routes[1].Methods = []string{"GET"}
 	must.SliceEmpty(t, Validate(document))
@@ -94,7 +94,7 @@
 }
 
 func TestFindingsAreBounded(t *testing.T) {
-	document := sound()
+	document := validDocument()
 	for index := range maxWorkers - len(document.Workers) {
 		document.Workers = append(document.Workers, Worker{Name: fmt.Sprintf("w%d", index), Service: strings.Repeat("x", 1000)})
 	}
@@ -104,7 +104,7 @@
 }
 
 func BenchmarkValidate(b *testing.B) {
-	document := sound()
+	document := validDocument()
 	for index := range 850 {
 		worker := document.Workers[0]
 		worker.Name = fmt.Sprintf("storefront-x%d", index)
