--- a/internal/transport/coding.go
+++ b/internal/transport/coding.go
@@ -12,42 +12,43 @@
 	"sliphead/internal/fault"
 )
 
-// The first byte of a stream names its coding.
+// The first byte of a stream identifies its coding.
 const (
 	codingPlain   byte = 'p'
 	codingDeflate byte = 'd'
 )
 
 const (
-	windowBytes = 8 << 10  // history kept by a sender; the most that the stateless encoder uses
-	chunkBytes  = 16 << 10 // the most that is compressed at once
-	smallBytes  = 2 << 10  // batches below this see only as much history: the encoder indexes it anew each time
-	readBytes   = 4 << 10  // a reader's buffer; longer lines are gathered apart
-	keepBytes   = 64 << 10 // buffers beyond this are given back after use
-
-	bombAllowance = 1 << 20 // decoded bytes that any stream may reach
-	bombRatio     = 256     // decoded bytes allowed for each byte on the wire beyond the allowance
+	windowBytes      = 8 << 10  // history retained by a sender; the maximum that the stateless encoder uses
+	chunkBytes       = 16 << 10 // maximum input that is compressed in one call
+	smallBatchBytes  = 2 << 10  // batches below this size use only as much history, because the encoder indexes the history on each call
+	readBufferBytes  = 4 << 10  // size of a reader's buffer; longer lines are collected in a separate buffer
+	maxRetainedBytes = 64 << 10 // larger buffers are released after use
+
+	bombAllowance = 1 << 20 // decoded bytes allowed for any stream
+	bombRatio     = 256     // decoded bytes allowed in addition for each byte received
 )
 
-const garbageRemedy = "find out who runs at the remote address; the stream was closed and nothing was changed"
+const protocolRemedy = "find out which process runs at the remote address; the stream was closed and no state was changed"
 
-// lineWriter codes batches of lines onto a stream. It keeps no more than its
-// window between batches.
+// lineWriter encodes batches of lines onto a stream. Between batches it retains only
+// its history window and small buffers.
 type lineWriter struct {
 	writer   io.Writer
 	compress bool
-	started  bool // whether the coding byte is written
-	history  []byte
+	started  bool   // whether the coding byte has been written
+	history  []byte // the last bytes written, up to windowBytes
 	input    []byte
 	output   bytes.Buffer
 }
 
-// newLineWriter returns a writer for a fresh stream.
+// newLineWriter returns a writer for a new stream.
 func newLineWriter(writer io.Writer, compression Compression) *lineWriter {
 	return &lineWriter{writer: writer, compress: compression == CompressionDeflate}
 }
 
-// writeLines writes a batch and flushes it. Small lines share a write.
+// writeLines writes a batch of lines and flushes it. Small lines are combined into
+// one write.
 func (w *lineWriter) writeLines(lines [][]byte) error {
 	for _, line := range lines {
 		for len(line) > 0 {
@@ -63,13 +64,13 @@
 		}
 	}
 	err := w.flush()
-	if cap(w.input) > readBytes {
+	if cap(w.input) > readBufferBytes {
 		w.input = nil
 	}
 	return err
 }
 
-// flush writes the input gathered.
+// flush encodes and writes the collected input.
 func (w *lineWriter) flush() error {
 	if len(w.input) == 0 {
 		return nil
@@ -81,13 +82,13 @@
 	}
 	w.input = w.input[:0]
 	_, err := w.writer.Write(w.output.Bytes())
-	if w.output.Cap() > readBytes {
+	if w.output.Cap() > readBufferBytes {
 		w.output = bytes.Buffer{}
 	}
 	return err
 }
 
-// start puts the coding byte before the first output.
+// start writes the coding byte before the first output.
 func (w *lineWriter) start() {
 	if w.started {
 		return
@@ -100,25 +101,25 @@
 	w.output.WriteByte(coding)
 }
 
-// encode appends the coded input to the output.
+// encode appends the encoded input to the output.
 func (w *lineWriter) encode() error {
 	if !w.compress {
 		w.output.Write(w.input)
 		return nil
 	}
 	history := w.history
-	if len(w.input) < smallBytes && len(history) > smallBytes {
-		history = history[len(history)-smallBytes:]
+	if len(w.input) < smallBatchBytes && len(history) > smallBatchBytes {
+		history = history[len(history)-smallBatchBytes:]
 	}
 	if err := flate.StatelessDeflate(&w.output, w.input, false, history); err != nil {
 		return err
 	}
-	w.remember(w.input)
+	w.appendHistory(w.input)
 	return nil
 }
 
-// remember keeps the last windowBytes of what was written.
-func (w *lineWriter) remember(written []byte) {
+// appendHistory appends to the history and truncates it to the last windowBytes.
+func (w *lineWriter) appendHistory(written []byte) {
 	if len(written) >= windowBytes {
 		w.history = append(w.history[:0], written[len(written)-windowBytes:]...)
 		return
@@ -129,24 +130,26 @@
 	w.history = append(w.history, written...)
 }
 
-// lineReader decodes lines from a stream within bounds.
+// lineReader decodes lines from a stream within limits on their length and memory.
 type lineReader struct {
 	buffered *bufio.Reader
-	long     []byte
-	maximum  int
+	longLine []byte // collects a line that is longer than the read buffer
+	maximum  int    // length of a line in bytes
 	budget   *budget
-	reserved int64
+	reserved int64 // bytes taken from the budget
 }
 
-// budget bounds the memory of long lines over all streams of a node.
+// budget limits the memory of long lines over all streams of a node. It is safe for
+// concurrent use.
 type budget struct {
-	most int64
-	used atomic.Int64
+	limit int64 // bytes
+	used  atomic.Int64
 }
 
-// reserve takes bytes from the budget and reports whether they were left.
+// reserve takes bytes from the budget. It returns false, taking none, if too few are
+// left.
 func (b *budget) reserve(bytes int64) bool {
-	if b.used.Add(bytes) <= b.most {
+	if b.used.Add(bytes) <= b.limit {
 		return true
 	}
 	b.used.Add(-bytes)
@@ -154,7 +157,7 @@
 }
 
 // newLineReader reads the coding byte and returns a reader of lines of at most
-// maximum bytes. received tells the bytes that have come over the wire.
+// maximum bytes. received returns the number of bytes received on the connection.
 func newLineReader(reader io.Reader, maximum int, budget *budget, received func() int64) (*lineReader, error) {
 	var coding [1]byte
 	if _, err := io.ReadFull(reader, coding[:]); err != nil {
@@ -163,31 +166,32 @@
 	switch coding[0] {
 	case codingPlain:
 	case codingDeflate:
-		reader = &guardedReader{reader: flate.NewReader(bufio.NewReaderSize(reader, readBytes)), received: received}
+		reader = &bombGuard{reader: flate.NewReader(bufio.NewReaderSize(reader, readBufferBytes)), received: received}
 	default:
-		return nil, refused(causeGarbage, fault.New(fault.Peer, garbageRemedy, "a stream starts with byte %#x, which names no coding", coding[0]))
+		return nil, withCause(causeGarbage, fault.New(fault.Peer, protocolRemedy, "a stream starts with byte %#x, which is no known coding", coding[0]))
 	}
-	return &lineReader{buffered: bufio.NewReaderSize(reader, readBytes), maximum: maximum, budget: budget}, nil
+	return &lineReader{buffered: bufio.NewReaderSize(reader, readBufferBytes), maximum: maximum, budget: budget}, nil
 }
 
-// next returns the next line, newline included. It is valid until the next call.
+// next returns the next line, including its newline. The line is valid until the
+// next call.
 func (r *lineReader) next() ([]byte, error) {
 	r.release()
 	for {
 		part, err := r.buffered.ReadSlice('\n')
-		if len(r.long)+len(part) > r.maximum {
-			return nil, refused(causeTooLong, fault.New(fault.Peer, garbageRemedy, "a line has more than %d bytes", r.maximum))
+		if len(r.longLine)+len(part) > r.maximum {
+			return nil, withCause(causeTooLong, fault.New(fault.Peer, protocolRemedy, "a line has more than %d bytes", r.maximum))
 		}
-		if err == nil && len(r.long) == 0 {
+		if err == nil && len(r.longLine) == 0 {
 			return part, nil
 		}
-		if !r.reserveFor(len(r.long) + len(part)) {
-			return nil, refused(causeMemory, fault.New(fault.Overload, "find out which peers send long lines; the stream may come back",
-				"long lines of all peers together exceed %d bytes", r.budget.most))
+		if !r.reserveFor(len(r.longLine) + len(part)) {
+			return nil, withCause(causeMemory, fault.New(fault.Overload, "find out which peers send long lines; the stream may be opened again",
+				"long lines of all peers together exceed %d bytes", r.budget.limit))
 		}
-		r.long = append(r.long, part...)
+		r.longLine = append(r.longLine, part...)
 		if err == nil {
-			return r.long, nil
+			return r.longLine, nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
@@ -195,14 +199,14 @@
 	}
 }
 
-// reserveFor takes what a line of that length needs from the shared budget. A
-// buffer that is kept between lines costs nothing.
+// reserveFor takes the memory of a line of the given length from the shared budget,
+// in steps of maxRetainedBytes. Buffers of up to maxRetainedBytes are not counted.
 func (r *lineReader) reserveFor(length int) bool {
-	if length <= keepBytes || int64(length) <= r.reserved {
+	if length <= maxRetainedBytes || int64(length) <= r.reserved {
 		return true
 	}
-	steps := int64(length/keepBytes + 1)
-	more := steps*keepBytes - r.reserved
+	steps := int64(length/maxRetainedBytes + 1)
+	more := steps*maxRetainedBytes - r.reserved
 	if !r.budget.reserve(more) {
 		return false
 	}
@@ -210,36 +214,37 @@
 	return true
 }
 
-// release gives a long buffer and its part of the budget back. It is also
+// release frees a large buffer and returns its part of the budget. It must also be
 // called when the stream has ended.
 func (r *lineReader) release() {
-	if cap(r.long) > keepBytes {
-		r.long = nil
+	if cap(r.longLine) > maxRetainedBytes {
+		r.longLine = nil
 	}
-	r.long = r.long[:0]
+	r.longLine = r.longLine[:0]
 	if r.reserved > 0 {
 		r.budget.used.Add(-r.reserved)
 		r.reserved = 0
 	}
 }
 
-// guardedReader refuses a stream that decodes to far more than was sent.
-type guardedReader struct {
+// bombGuard protects against decompression bombs: it fails when a stream decodes
+// to more than bombAllowance plus bombRatio times the bytes received.
+type bombGuard struct {
 	reader   io.Reader
 	received func() int64
 	decoded  int64
 }
 
 // Read implements io.Reader.
-func (g *guardedReader) Read(buffer []byte) (int, error) {
+func (g *bombGuard) Read(buffer []byte) (int, error) {
 	count, err := g.reader.Read(buffer)
 	g.decoded += int64(count)
 	if g.decoded > bombAllowance+bombRatio*g.received() {
-		return 0, refused(causeBomb, fault.New(fault.Peer, garbageRemedy, "a stream decodes to more than %d times its bytes", bombRatio))
+		return 0, withCause(causeBomb, fault.New(fault.Peer, protocolRemedy, "a stream decodes to more than %d times its received bytes", bombRatio))
 	}
 	var corrupt flate.CorruptInputError
 	if errors.As(err, &corrupt) {
-		err = refused(causeGarbage, fault.Wrap(err, fault.Peer, garbageRemedy, "a stream is not valid deflate data"))
+		err = withCause(causeGarbage, fault.Wrap(err, fault.Peer, protocolRemedy, "a stream is not valid deflate data"))
 	}
 	return count, err
 }
--- a/internal/transport/coding_test.go
+++ b/internal/transport/coding_test.go
@@ -17,7 +17,7 @@
 	"sliphead/internal/wire"
 )
 
-// writeAll codes batches of lines and returns the stream.
+// writeAll encodes batches of lines and returns the stream.
 func writeAll(t testing.TB, compression Compression, batches [][][]byte) []byte {
 	t.Helper()
 	var stream bytes.Buffer
@@ -32,7 +32,7 @@
 func readAll(t testing.TB, stream []byte) [][]byte {
 	t.Helper()
 	received := func() int64 { return int64(len(stream)) }
-	reader, err := newLineReader(bytes.NewReader(stream), wire.MaxLineBytes, &budget{most: 1 << 30}, received)
+	reader, err := newLineReader(bytes.NewReader(stream), wire.MaxLineBytes, &budget{limit: 1 << 30}, received)
 	must.NoError(t, err)
 	var lines [][]byte
 	for {
@@ -45,9 +45,9 @@
 	}
 }
 
-func TestLinesReadBackAsWritten(t *testing.T) {
+func TestLineCodingRoundTrip(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	lengths := []int{1, 2, 3, 20, 300, smallBytes - 1, smallBytes, readBytes, windowBytes, chunkBytes - 1, chunkBytes, chunkBytes + 1, 130 << 10}
+	lengths := []int{1, 2, 3, 20, 300, smallBatchBytes - 1, smallBatchBytes, readBufferBytes, windowBytes, chunkBytes - 1, chunkBytes, chunkBytes + 1, 130 << 10}
 	for range 30 {
 		var batches [][][]byte
 		var written [][]byte
@@ -71,13 +71,13 @@
 }
 
 func FuzzLineReader(f *testing.F) {
-	sound := [][][]byte{{[]byte("{}\n")}, {[]byte(strings.Repeat("x", 9000) + "\n")}}
-	f.Add(writeAll(f, CompressionDeflate, sound))
-	f.Add(writeAll(f, CompressionNone, sound))
+	batches := [][][]byte{{[]byte("{}\n")}, {[]byte(strings.Repeat("x", 9000) + "\n")}}
+	f.Add(writeAll(f, CompressionDeflate, batches))
+	f.Add(writeAll(f, CompressionNone, batches))
 	f.Add([]byte("d\xff\x00garbage"))
 	f.Add([]byte("p"))
 	f.Fuzz(func(t *testing.T, stream []byte) {
-		shared := &budget{most: 1 << 20}
+		shared := &budget{limit: 1 << 20}
 		reader, err := newLineReader(bytes.NewReader(stream), 1<<20, shared, func() int64 { return int64(len(stream)) })
 		if err != nil {
 			return
@@ -92,7 +92,7 @@
 	})
 }
 
-// largePush is a whole version of 400 workers in 29 services.
+// largePush returns a message with a complete version of 400 workers in 29 services.
 func largePush(b *testing.B) []byte {
 	document := &declaration.Document{Epoch: 1}
 	for index := range 400 {
@@ -108,7 +108,7 @@
 	return line
 }
 
-// smallLines are claims with keys that differ.
+// smallLines returns claim requests with random keys.
 func smallLines(b *testing.B) [][]byte {
 	random := rand.New(rand.NewPCG(5, 6))
 	var lines [][]byte
@@ -130,16 +130,16 @@
 		b.Run(name, func(b *testing.B) {
 			var stream bytes.Buffer
 			writer := newLineWriter(&stream, CompressionDeflate)
-			plain, coded := 0, 0
+			inputBytes, outputBytes := 0, 0
 			for index := 0; b.Loop(); index++ {
 				line := lines[index%len(lines)]
 				stream.Reset()
 				must.NoError(b, writer.writeLines([][]byte{line}))
-				plain += len(line)
-				coded += stream.Len()
+				inputBytes += len(line)
+				outputBytes += stream.Len()
 			}
 			b.SetBytes(int64(len(lines[0])))
-			b.ReportMetric(float64(plain)/float64(coded), "ratio")
+			b.ReportMetric(float64(inputBytes)/float64(outputBytes), "ratio")
 		})
 	}
 }
--- a/internal/transport/config.go
+++ b/internal/transport/config.go
@@ -17,54 +17,55 @@
 type Received struct {
 	Envelope wire.Envelope
 	Remote   string // the peer's socket address
-	Bytes    int    // decoded size
-	Datagram bool   // whether it came by datagram
+	Bytes    int    // size after decoding
+	Datagram bool   // whether it was received in a datagram
 }
 
-// Compression names how outgoing streams are coded. Listeners take either.
+// Compression is the coding of outbound streams. Listeners accept both codings.
 type Compression string
 
 // The codings of a stream.
 const (
-	CompressionDeflate Compression = "deflate" // RFC 1951, window of 8 KiB
+	CompressionDeflate Compression = "deflate" // RFC 1951, with a window of 8 KiB
 	CompressionNone    Compression = "none"    // for baselines and debugging
 )
 
-// Config says how a node talks to its peers.
+// Config configures a Transport.
 type Config struct {
 	Bind        string               // host:port of the stream and datagram listeners
-	Self        func() wire.Member   // this node's register, for Hello; safe for concurrent use
-	Others      func() []wire.Member // optional: whom a refused dialer may ask instead; safe for concurrent use
-	Network     Network              // default System
-	Security    Security             // the zero value is refused: name plain or the files
-	Compression Compression          // default CompressionDeflate
-	Deliver     func(Received)       // called from reader goroutines; must not block long
-	Logger      log.Interface        // default discards
-	Limits      Limits               // zero fields take their defaults
-	Random      *rand.Rand           // source of jitter; the transport serialises its use
+	Self        func() wire.Member   // this node's membership record, sent in Hello; safe for concurrent use
+	Others      func() []wire.Member // optional: peers listed in Busy, to which a rejected dialer may connect instead; safe for concurrent use
+	Network     Network              // default: System
+	Security    Security             // required: the zero value is rejected, set Plain or the files
+	Compression Compression          // default: CompressionDeflate
+	Deliver     func(Received)       // called concurrently from reader goroutines; must not block for long
+	Logger      log.Interface        // default: discards
+	Limits      Limits               // zero fields are set to their defaults
+	Random      *rand.Rand           // source of jitter; the transport serializes its use
 }
 
-// Limits bound what peers may cost this node. A zero field takes its default.
+// Limits bound the resources that peers may use on this node. Zero fields are set to
+// their defaults.
 type Limits struct {
-	MaxStreams        int           // open streams accepted from peers
-	StreamsPerSecond  float64       // rate at which streams are admitted
-	StreamBurst       int           // streams admitted at once before the rate counts
-	MaxLineBytes      int           // one message on a stream
-	LongLineBytes     int           // long lines of all streams together while they are read
-	MessagesPerSecond float64       // from one stream
-	MessageBurst      int           // messages of one stream at once before the rate counts
-	QueueMessages     int           // waiting for one peer
-	QueueBytes        int           // waiting for one peer; one message is let in whatever its size
-	QueueAge          time.Duration // a message that waited longer is dropped: late ones do more harm than lost ones
-	IdleTimeout       time.Duration // an outgoing stream without messages is closed
-	HandshakeTimeout  time.Duration // dial, TLS and Hello
-	WriteTimeout      time.Duration // one batch of messages
-	BackoffBase       time.Duration // the first backoff is up to this long
-	BackoffMax        time.Duration // no backoff is longer
-	RetryAfter        time.Duration // a refused dialer is told to come back after half to one and a half of this
+	MaxStreams        int           // concurrent streams from peers
+	StreamsPerSecond  float64       // rate limit of accepted streams
+	StreamBurst       int           // burst of accepted streams
+	MaxLineBytes      int           // length of one message on a stream
+	LongLineBytes     int           // memory for long lines of all streams while they are read
+	MessagesPerSecond float64       // rate limit per stream
+	MessageBurst      int           // burst per stream
+	QueueMessages     int           // messages queued per peer
+	QueueBytes        int           // bytes queued per peer; a single message is queued whatever its size
+	QueueAge          time.Duration // messages that waited longer are dropped, because late messages do more harm than lost ones
+	IdleTimeout       time.Duration // after which an outbound stream without messages is closed
+	HandshakeTimeout  time.Duration // for dial, TLS handshake and Hello
+	WriteTimeout      time.Duration // for one batch of messages
+	BackoffBase       time.Duration // upper bound of the first backoff
+	BackoffMax        time.Duration // upper bound of every backoff
+	RetryAfter        time.Duration // Busy asks a rejected dialer to retry after 0.5 to 1.5 times this
 }
 
-// withDefaults fills the zero fields.
+// withDefaults returns the limits with defaults for the zero fields.
 func (l Limits) withDefaults() Limits {
 	defaults.Set(&l.MaxStreams, 256)
 	defaults.Set(&l.StreamsPerSecond, 50)
@@ -85,10 +86,10 @@
 	return l
 }
 
-// withDefaults checks the configuration and fills what is optional.
+// withDefaults checks the configuration and sets the defaults of optional fields.
 func (c Config) withDefaults() (Config, error) {
 	if _, _, err := net.SplitHostPort(c.Bind); err != nil {
-		return c, fault.Wrap(err, fault.Settings, "give listen.peer as IP:port", "the peer address %q is wrong", c.Bind)
+		return c, fault.Wrap(err, fault.Settings, "give listen.peer as IP:port", "the peer address %q is invalid", c.Bind)
 	}
 	if c.Self == nil || c.Deliver == nil || c.Random == nil {
 		return c, fault.New(fault.Internal, "report this defect", "transport needs Self, Deliver and Random")
--- a/internal/transport/counters.go
+++ b/internal/transport/counters.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 )
 
-// Counters are running totals since the start. Stream bytes are counted at the
-// socket, after compression and TLS and without TCP and IP headers; datagram
-// bytes are UDP payloads.
+// Counters are totals since the start, except for StreamsIn and StreamsOut. Stream
+// bytes are counted at the socket, after compression and TLS and without TCP and IP
+// headers; datagram bytes are UDP payloads.
 type Counters struct {
 	StreamBytesSent       uint64
 	StreamBytesReceived   uint64
@@ -17,16 +17,16 @@
 	MessagesReceived      uint64 // delivered
 	StreamsOpened         uint64 // by this node
 	StreamsAccepted       uint64 // from peers
-	StreamsRefused        uint64 // answered Busy, or closed for want of a place
-	StreamsBusy           uint64 // this node was answered Busy
+	StreamsRefused        uint64 // rejected with Busy, or closed because of the limits
+	StreamsBusy           uint64 // a peer replied Busy to this node
 	StreamsClosedForFault uint64 // a peer broke the protocol
 	DatagramsRefused      uint64 // malformed, not authentic or over the rate
-	Dropped               uint64 // messages given up before they were written
-	StreamsIn             int64  // open now, from peers
-	StreamsOut            int64  // open now, to peers
+	Dropped               uint64 // messages dropped before they were written
+	StreamsIn             int64  // currently open, from peers
+	StreamsOut            int64  // currently open, to peers
 }
 
-// totals is the shared form of Counters.
+// totals are the Counters in a form for concurrent updates.
 type totals struct {
 	streamBytesSent, streamBytesReceived     atomic.Uint64
 	datagramBytesSent, datagramBytesReceived atomic.Uint64
@@ -81,5 +81,5 @@
 	return count, err
 }
 
-// Bytes returns what was sent, by stream and datagram.
+// Bytes returns the bytes sent on streams and in datagrams.
 func (c Counters) Bytes() uint64 { return c.StreamBytesSent + c.DatagramBytesSent }
--- a/internal/transport/credentials.go
+++ b/internal/transport/credentials.go
@@ -9,34 +9,35 @@
 	"sliphead/internal/fault"
 )
 
-// Security says how peers are authenticated: plainly not at all, or by TLS 1.3
-// on streams and by HMAC-SHA256 on datagrams, with keys from files that may be
+// Security configures the authentication of peers: none in plain mode, otherwise
+// mutual TLS 1.3 on streams and HMAC-SHA256 on datagrams. The key files may be
 // replaced while the node runs.
 type Security struct {
 	Plain           bool   // no authentication; for tests only
-	CertificateFile string // PEM, the node's certificate and chain; its DNS names must hold the node's name
+	CertificateFile string // PEM, the node's certificate and chain; its DNS names must include the node's name
 	KeyFile         string // PEM, the private key of the certificate
-	AuthorityFile   string // PEM, the certificates of the authorities that peers' certificates come from
-	DatagramKeyFile string // one key a line in hexadecimal, at least 32 bytes each; the first signs, each verifies
+	AuthorityFile   string // PEM, certificates of the authorities that issue peers' certificates
+	DatagramKeyFile string // one hexadecimal key per line, at least 32 bytes each; the first signs, all verify
 }
 
-// credentials prove this node to peers and peers to this node. A nil pointer
-// stands for the plain mode.
+// credentials authenticate this node to its peers and the peers to this node. A nil
+// pointer stands for the plain mode. They are safe for concurrent use.
 type credentials struct {
-	certificate *reloaded[*tls.Certificate]
-	authority   *reloaded[*x509.CertPool]
-	keys        *reloaded[[][]byte]
+	certificate *reloadedValue[*tls.Certificate]
+	authority   *reloadedValue[*x509.CertPool]
+	keys        *reloadedValue[[][]byte]
 }
 
-// loadCredentials reads the files named. It fails when one is missing or wrong.
+// loadCredentials reads the files of security. It returns an error of kind
+// fault.Settings when one is missing or invalid.
 func loadCredentials(security Security, limiter *logLimiter) (*credentials, error) {
 	if security.Plain {
 		return nil, security.checkPlain()
 	}
 	loaded := &credentials{
-		certificate: newReloaded(readCertificate, limiter, security.CertificateFile, security.KeyFile),
-		authority:   newReloaded(readAuthority, limiter, security.AuthorityFile),
-		keys:        newReloaded(readDatagramKeys, limiter, security.DatagramKeyFile),
+		certificate: newReloadedValue(readCertificate, limiter, security.CertificateFile, security.KeyFile),
+		authority:   newReloadedValue(readAuthority, limiter, security.AuthorityFile),
+		keys:        newReloadedValue(readDatagramKeys, limiter, security.DatagramKeyFile),
 	}
 	for _, load := range []func() error{loaded.certificate.load, loaded.authority.load, loaded.keys.load} {
 		if err := load(); err != nil {
@@ -46,52 +47,53 @@
 	return loaded, nil
 }
 
-// checkPlain refuses a plain mode that also names keys: one of them is not meant.
+// checkPlain returns an error when plain mode is combined with key files, because
+// one of the two must be a mistake.
 func (s Security) checkPlain() error {
 	if s.CertificateFile+s.KeyFile+s.AuthorityFile+s.DatagramKeyFile == "" {
 		return nil
 	}
-	return fault.New(fault.Settings, "remove security.plain to use the keys, or the keys to run tests without",
-		"security.plain is set and keys are named")
+	return fault.New(fault.Settings, "remove security.plain to use the keys, or the keys to run tests without authentication",
+		"security.plain is set together with key files")
 }
 
-// client proves a dialled stream in both directions and returns the names that
-// the listener's certificate proves, nil in plain mode.
+// client authenticates both sides of a dialled stream. It returns the secured stream
+// and the names in the listener's certificate, nil in plain mode.
 func (c *credentials) client(ctx context.Context, conn net.Conn) (net.Conn, []string, error) {
 	if c == nil {
 		return conn, nil, nil
 	}
-	config := c.config()
-	// The dialer knows an address, not a name: the chain is verified by
-	// VerifyConnection, and any member of the fleet may answer.
+	config := c.tlsConfig()
+	// The dialer has an address and no host name to verify. VerifyConnection verifies
+	// the chain instead, so that any member of the fleet is accepted.
 	config.InsecureSkipVerify = true
 	config.VerifyConnection = func(state tls.ConnectionState) error { return c.verify(state, x509.ExtKeyUsageServerAuth) }
 	secured := tls.Client(conn, config)
 	if err := secured.HandshakeContext(ctx); err != nil {
-		return nil, nil, refusedPeer(err)
+		return nil, nil, authenticationError(err)
 	}
-	return secured, provenNames(secured.ConnectionState().PeerCertificates[0]), nil
+	return secured, certificateNames(secured.ConnectionState().PeerCertificates[0]), nil
 }
 
-// server proves an accepted stream in both directions and returns the names
-// that the peer's certificate proves, nil in plain mode.
+// server authenticates both sides of an accepted stream. It returns the secured
+// stream and the names in the peer's certificate, nil in plain mode.
 func (c *credentials) server(ctx context.Context, conn net.Conn) (net.Conn, []string, error) {
 	if c == nil {
 		return conn, nil, nil
 	}
-	config := c.config()
+	config := c.tlsConfig()
 	config.ClientAuth = tls.RequireAnyClientCert
 	config.VerifyConnection = func(state tls.ConnectionState) error { return c.verify(state, x509.ExtKeyUsageClientAuth) }
 	secured := tls.Server(conn, config)
 	if err := secured.HandshakeContext(ctx); err != nil {
-		return nil, nil, refusedPeer(err)
+		return nil, nil, authenticationError(err)
 	}
-	return secured, provenNames(secured.ConnectionState().PeerCertificates[0]), nil
+	return secured, certificateNames(secured.ConnectionState().PeerCertificates[0]), nil
 }
 
-// config returns what both sides share. Session tickets are off, so that each
-// stream is proven against the authorities of now.
-func (c *credentials) config() *tls.Config {
+// tlsConfig returns the TLS settings common to both sides. Session tickets are disabled,
+// so that each stream is verified against the current authorities.
+func (c *credentials) tlsConfig() *tls.Config {
 	certificate := c.certificate.current()
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -100,10 +102,10 @@
 	}
 }
 
-// verify checks the peer's chain against the authorities held now.
+// verify checks the peer's certificate chain against the current authorities.
 func (c *credentials) verify(state tls.ConnectionState, usage x509.ExtKeyUsage) error {
 	if len(state.PeerCertificates) == 0 {
-		return fault.New(fault.Peer, "give the peer a certificate", "the peer showed no certificate")
+		return fault.New(fault.Peer, "give the peer a certificate", "the peer presented no certificate")
 	}
 	options := x509.VerifyOptions{
 		Roots:         c.authority.current(),
@@ -117,16 +119,17 @@
 	return err
 }
 
-// provenNames returns the DNS names of a certificate, else its common name.
-func provenNames(certificate *x509.Certificate) []string {
+// certificateNames returns the DNS names of a certificate, or its common name if it has
+// none.
+func certificateNames(certificate *x509.Certificate) []string {
 	if len(certificate.DNSNames) > 0 {
 		return certificate.DNSNames
 	}
 	return []string{certificate.Subject.CommonName}
 }
 
-// refusedPeer types an error of the handshake.
-func refusedPeer(err error) error {
-	return refused(causeAuthentication, fault.Wrap(err, fault.Peer,
+// authenticationError wraps an error of the TLS handshake.
+func authenticationError(err error) error {
+	return withCause(causeAuthentication, fault.Wrap(err, fault.Peer,
 		"check both sides' certificates and authorities, and that security.plain is set on neither or both", "the peer was not authenticated"))
 }
--- a/internal/transport/datagram.go
+++ b/internal/transport/datagram.go
@@ -13,14 +13,16 @@
 	"sliphead/internal/wire"
 )
 
-// datagramsPerSecond bounds what all peers together may cost this node: at 850
-// nodes each gets a few probes a second, and a flood must not take the core.
+// datagramsPerSecond limits the datagrams processed from all peers together. In a
+// fleet of 850 nodes each node receives a few probes per second; a flood must not
+// occupy the CPU core.
 const (
 	datagramsPerSecond = 20000
 	datagramBurst      = 20000
 )
 
-// SendDatagram sends a message by datagram, or drops and counts it.
+// SendDatagram sends a message in one datagram. A message that cannot be sent is
+// dropped, counted and logged. While Run is not running, it does nothing.
 func (t *Transport) SendDatagram(address string, envelope wire.Envelope) {
 	if err := t.sendDatagram(address, envelope); err != nil {
 		t.totals.dropped.Add(1)
@@ -28,24 +30,24 @@
 	}
 }
 
-// sendDatagram encodes, seals and writes one message.
+// sendDatagram encodes and writes one message with its authentication code.
 func (t *Transport) sendDatagram(address string, envelope wire.Envelope) error {
-	packets := t.packets()
+	packets := t.datagramSocket()
 	if packets == nil {
 		return nil
 	}
 	target, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return fault.Wrap(err, fault.Peer, "advertise an IP and a port", "the peer address %q is wrong", address)
+		return fault.Wrap(err, fault.Peer, "advertise an IP and a port", "the peer address %q is not an IP and a port", address)
 	}
 	line, err := wire.Encode(envelope)
 	if err != nil {
 		return err
 	}
-	sealed := t.credentials.seal(line)
+	sealed := t.credentials.appendTag(line)
 	if len(sealed) > wire.MaxDatagramBytes {
-		return fault.New(fault.Internal, "report this defect: the sender must bound its updates",
-			"a %s datagram has %d bytes, more than %d", envelope.Kind(), len(sealed), wire.MaxDatagramBytes)
+		return fault.New(fault.Internal, "report this defect: the sender must limit its updates",
+			"a %s datagram has %d bytes, more than the maximum of %d", envelope.Kind(), len(sealed), wire.MaxDatagramBytes)
 	}
 	count, err := packets.WriteTo(sealed, net.UDPAddrFromAddrPort(target))
 	if err != nil {
@@ -56,8 +58,8 @@
 	return nil
 }
 
-// packets returns the open datagram socket, nil when Run is not running.
-func (t *Transport) packets() net.PacketConn {
+// datagramSocket returns the datagram socket, nil while Run is not running.
+func (t *Transport) datagramSocket() net.PacketConn {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.context == nil || t.context.Err() != nil {
@@ -66,7 +68,7 @@
 	return t.datagrams
 }
 
-// readDatagrams delivers datagrams until ctx ends.
+// readDatagrams receives and delivers datagrams until ctx ends.
 func (t *Transport) readDatagrams(ctx context.Context, packets net.PacketConn) error {
 	buffer := make([]byte, wire.MaxDatagramBytes+1)
 	limiter := rate.NewLimiter(datagramsPerSecond, datagramBurst)
@@ -84,31 +86,31 @@
 			continue
 		}
 		t.totals.datagramBytesReceived.Add(uint64(count))
-		if err := t.takeDatagram(buffer[:count], remote, limiter); err != nil {
+		if err := t.handleDatagram(buffer[:count], remote, limiter); err != nil {
 			t.totals.datagramsRefused.Add(1)
 			t.limiter.log("transport.datagramRefused", hostOf(remote.String()), err)
 		}
 	}
 }
 
-// takeDatagram checks and delivers one datagram.
-func (t *Transport) takeDatagram(datagram []byte, remote net.Addr, limiter *rate.Limiter) error {
+// handleDatagram checks and delivers one datagram. Only probes and gossip are accepted.
+func (t *Transport) handleDatagram(datagram []byte, remote net.Addr, limiter *rate.Limiter) error {
 	if !limiter.Allow() {
-		return refused(causeRate, fault.New(fault.Peer, "find out who floods the peer address", "more than %d datagrams a second", datagramsPerSecond))
+		return withCause(causeRate, fault.New(fault.Peer, "find out which host floods the peer address", "more than %d datagrams per second", datagramsPerSecond))
 	}
 	if len(datagram) > wire.MaxDatagramBytes {
-		return refused(causeTooLong, fault.New(fault.Peer, garbageRemedy, "a datagram has more than %d bytes", wire.MaxDatagramBytes))
+		return withCause(causeTooLong, fault.New(fault.Peer, protocolRemedy, "a datagram has more than %d bytes", wire.MaxDatagramBytes))
 	}
-	line, err := t.credentials.unseal(datagram)
+	line, err := t.credentials.verifyTag(datagram)
 	if err != nil {
 		return err
 	}
 	envelope, err := wire.Decode(line)
 	if err != nil {
-		return refused(causeGarbage, err)
+		return withCause(causeGarbage, err)
 	}
 	if envelope.Ping == nil && envelope.PingReq == nil && envelope.Ack == nil && envelope.Gossip == nil {
-		return refused(causeGarbage, fault.New(fault.Peer, garbageRemedy, "a %s message came by datagram", envelope.Kind()))
+		return withCause(causeGarbage, fault.New(fault.Peer, protocolRemedy, "received a %s message in a datagram, which is not allowed", envelope.Kind()))
 	}
 	t.deliver(Received{Envelope: envelope, Remote: remote.String(), Bytes: len(datagram), Datagram: true})
 	return nil
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	streamsPerPeer = 2        // a third one closes the oldest
-	maxRefusals    = 32       // refusals answered at once; beyond that streams are just closed
-	refusalBytes   = 64 << 10 // read from a refused dialer so that it sees the answer
-	acceptPause    = 20 * time.Millisecond
-	tlsAlert       = "remote error" // the operation that crypto/tls names when the peer refused
-	idleFactor     = 2              // a listener waits this many idle timeouts for the next line
+	streamsPerPeer       = 2        // another one closes the oldest
+	maxBusyReplies       = 32       // concurrent Busy replies; further streams are closed without a reply
+	maxRejectedReadBytes = 64 << 10 // maximum read from a rejected dialer, so that it receives the reply
+	acceptPause          = 20 * time.Millisecond
+	tlsAlertOp           = "remote error" // Op of the net.OpError that crypto/tls returns for an alert from the peer
+	idleFactor           = 2              // a listener waits this many idle timeouts for the next line, so that the dialer closes first
 )
 
 // inboundStream is an open stream from a peer.
@@ -32,7 +32,7 @@
 
 // acceptStreams admits streams until ctx ends.
 func (t *Transport) acceptStreams(ctx context.Context, listener net.Listener) error {
-	refusals := make(chan struct{}, maxRefusals)
+	refusals := make(chan struct{}, maxBusyReplies)
 	for {
 		raw, err := listener.Accept()
 		if ctx.Err() != nil {
@@ -53,13 +53,14 @@
 	}
 }
 
-// admit serves a stream when there is a place and refuses it otherwise.
+// admit serves a stream within the limits on their number and rate, and rejects
+// it otherwise.
 func (t *Transport) admit(conn *countedConn, refusals chan struct{}) {
 	open := t.totals.streamsIn.Add(1)
 	admitted := open <= int64(t.config.Limits.MaxStreams) && t.admission.Allow()
 	if admitted {
 		t.totals.streamsAccepted.Add(1)
-		if !t.start(func(ctx context.Context) { t.serveStream(ctx, conn) }) {
+		if !t.startGoroutine(func(ctx context.Context) { t.serveStream(ctx, conn) }) {
 			t.totals.streamsIn.Add(-1)
 			conn.Close()
 		}
@@ -73,9 +74,9 @@
 		conn.Close()
 		return
 	}
-	started := t.start(func(ctx context.Context) {
+	started := t.startGoroutine(func(ctx context.Context) {
 		defer func() { <-refusals }()
-		t.refuse(ctx, conn)
+		t.replyBusy(ctx, conn)
 	})
 	if !started {
 		<-refusals
@@ -83,9 +84,9 @@
 	}
 }
 
-// refuse answers Busy and reads a little, so that the answer is not lost to a
-// reset.
-func (t *Transport) refuse(ctx context.Context, raw *countedConn) {
+// replyBusy replies with Busy. It then reads what the dialer has sent, because closing
+// a connection with unread data would reset it and could lose the reply.
+func (t *Transport) replyBusy(ctx context.Context, raw *countedConn) {
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
@@ -104,49 +105,49 @@
 	if _, err := conn.Write(line); err != nil {
 		return
 	}
-	io.CopyN(io.Discard, conn, refusalBytes)
+	io.CopyN(io.Discard, conn, maxRejectedReadBytes)
 }
 
-// serveStream reads one stream to its end.
+// serveStream reads one stream until it ends and logs a protocol violation.
 func (t *Transport) serveStream(ctx context.Context, raw *countedConn) {
 	defer t.totals.streamsIn.Add(-1)
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
 	err := t.readStream(ctx, raw)
-	if ctx.Err() != nil || isQuietEnd(err) {
+	if ctx.Err() != nil || isExpectedEnd(err) {
 		return
 	}
 	t.totals.streamsClosedForFault.Add(1)
 	t.limiter.log("transport.streamClosed", hostOf(raw.RemoteAddr().String()), err)
 }
 
-// isQuietEnd reports whether a stream ended as streams do: closed by the peer,
-// replaced by a newer one, idle, or cut by the network.
-func isQuietEnd(err error) bool {
-	for _, quiet := range []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, os.ErrDeadlineExceeded} {
-		if errors.Is(err, quiet) {
+// isExpectedEnd reports whether a stream ended in an expected way: closed by the peer,
+// replaced by a newer stream, idle, or cut by the network.
+func isExpectedEnd(err error) bool {
+	for _, expected := range []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, os.ErrDeadlineExceeded} {
+		if errors.Is(err, expected) {
 			return true
 		}
 	}
 	var network *net.OpError
-	return errors.As(err, &network) && network.Op != tlsAlert
+	return errors.As(err, &network) && network.Op != tlsAlertOp
 }
 
-// readStream checks who is there and delivers message after message.
+// readStream authenticates the peer and delivers its messages until the stream ends.
 func (t *Transport) readStream(ctx context.Context, raw *countedConn) error {
 	limits := &t.config.Limits
 	raw.SetDeadline(time.Now().Add(limits.HandshakeTimeout))
-	conn, proven, err := t.credentials.server(ctx, raw)
+	conn, verifiedNames, err := t.credentials.server(ctx, raw)
 	if err != nil {
 		return err
 	}
-	lines, err := newLineReader(conn, limits.MaxLineBytes, &t.longLines, raw.received.Load)
+	lines, err := newLineReader(conn, limits.MaxLineBytes, &t.longLineBudget, raw.received.Load)
 	if err != nil {
 		return err
 	}
 	defer lines.release()
-	name, err := t.readHello(lines, raw, proven)
+	name, err := t.readHello(lines, raw, verifiedNames)
 	if err != nil {
 		return err
 	}
@@ -162,21 +163,21 @@
 	}
 }
 
-// readHello reads the first line and returns the peer's name. Under TLS the
-// name must be one that the certificate proves.
-func (t *Transport) readHello(lines *lineReader, raw *countedConn, proven []string) (string, error) {
+// readHello reads the first line and returns the peer's name. Unless in plain mode,
+// the name must be in the peer's certificate.
+func (t *Transport) readHello(lines *lineReader, raw *countedConn, verifiedNames []string) (string, error) {
 	line, err := lines.next()
 	if err != nil {
 		return "", err
 	}
 	envelope, err := wire.Decode(line)
 	if err != nil {
-		return "", refused(causeGarbage, err)
+		return "", withCause(causeGarbage, err)
 	}
 	if envelope.Hello == nil || envelope.Hello.Member.Name != envelope.From {
-		return "", refused(causeForeign, fault.New(fault.Peer, garbageRemedy, "a stream from %q starts with no hello of its own", envelope.From))
+		return "", withCause(causeForeign, fault.New(fault.Peer, protocolRemedy, "a stream from %q does not start with a hello of its own", envelope.From))
 	}
-	if err := checkProven(envelope.From, proven); err != nil {
+	if err := checkPeerName(envelope.From, verifiedNames); err != nil {
 		return "", err
 	}
 	t.deliver(Received{Envelope: envelope, Remote: raw.RemoteAddr().String(), Bytes: len(line)})
@@ -190,35 +191,35 @@
 		return err
 	}
 	if !messages.Allow() {
-		return refused(causeRate, fault.New(fault.Peer, "find out why the peer sends so much; it may come back",
-			"%q sends more than %v messages a second", name, t.config.Limits.MessagesPerSecond))
+		return withCause(causeRate, fault.New(fault.Peer, "find out why the peer sends so many messages; it may reconnect",
+			"%q sends more than %v messages per second", name, t.config.Limits.MessagesPerSecond))
 	}
 	envelope, err := wire.Decode(line)
 	if err != nil {
-		return refused(causeGarbage, err)
+		return withCause(causeGarbage, err)
 	}
 	if envelope.From != name {
-		return refused(causeForeign, fault.New(fault.Peer, garbageRemedy, "a stream of %q carries a message in the name of %q", name, envelope.From))
+		return withCause(causeForeign, fault.New(fault.Peer, protocolRemedy, "a stream of %q carries a message from %q", name, envelope.From))
 	}
 	if envelope.Hello != nil || envelope.Busy != nil {
-		return refused(causeGarbage, fault.New(fault.Peer, garbageRemedy, "a stream of %q carries a %s message where none belongs", name, envelope.Kind()))
+		return withCause(causeGarbage, fault.New(fault.Peer, protocolRemedy, "a stream of %q carries a %s message, which is not allowed there", name, envelope.Kind()))
 	}
 	t.deliver(Received{Envelope: envelope, Remote: raw.RemoteAddr().String(), Bytes: len(line)})
 	return nil
 }
 
-// checkProven refuses a name that the certificate does not prove. In plain mode
-// proven is nil and any name goes.
-func checkProven(name string, proven []string) error {
-	if proven == nil || slices.Contains(proven, name) {
+// checkPeerName returns an error if a peer's name is not in its certificate. In plain
+// mode verifiedNames is nil and any name is accepted.
+func checkPeerName(name string, verifiedNames []string) error {
+	if verifiedNames == nil || slices.Contains(verifiedNames, name) {
 		return nil
 	}
-	return refused(causeAuthentication, fault.New(fault.Peer, "give the node a certificate whose DNS name is its own name",
-		"a peer says that it is %q and its certificate says %q", name, proven))
+	return withCause(causeAuthentication, fault.New(fault.Peer, "give the node a certificate whose DNS name is its own name",
+		"a peer uses the name %q, its certificate is for %q", name, verifiedNames))
 }
 
-// register notes an open stream. A peer that opens more than a few loses its
-// oldest: it has most likely forgotten it.
+// register records an open stream. When a peer has more than streamsPerPeer, its
+// oldest stream is closed: the peer has most likely abandoned it.
 func (t *Transport) register(name string, stream *inboundStream) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -230,7 +231,7 @@
 	t.inbound[name] = streams
 }
 
-// unregister forgets a stream.
+// unregister removes a stream.
 func (t *Transport) unregister(name string, stream *inboundStream) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/transport/jitter.go
+++ b/internal/transport/jitter.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// jitter draws random waits for any goroutine.
+// jitter draws random durations. It is safe for concurrent use.
 type jitter struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 }
 
-// backoff returns the wait before the next try after a number of failures:
-// full jitter, that is uniform between zero and an exponentially growing bound
-// (Brooker, "Exponential Backoff And Jitter", 2015).
-func (j *jitter) backoff(base, most time.Duration, failures int) time.Duration {
-	bound := most
+// backoff returns the wait before the next attempt after a number of consecutive
+// failures. It uses full jitter: the wait is uniform between zero and a bound that
+// grows exponentially from base to maximum (Brooker, "Exponential Backoff And
+// Jitter", 2015).
+func (j *jitter) backoff(base, maximum time.Duration, failures int) time.Duration {
+	bound := maximum
 	if shift := failures - 1; shift < 16 {
-		bound = min(most, base<<max(shift, 0))
+		bound = min(maximum, base<<max(shift, 0))
 	}
-	return j.below(bound)
+	return j.upTo(bound)
 }
 
-// around returns a wait between half and one and a half of the middle.
+// around returns a wait between 0.5 and 1.5 times middle, uniformly distributed.
 func (j *jitter) around(middle time.Duration) time.Duration {
-	return middle/2 + j.below(middle)
+	return middle/2 + j.upTo(middle)
 }
 
-// below returns a wait from zero to the bound.
-func (j *jitter) below(bound time.Duration) time.Duration {
+// upTo returns a wait between zero and bound, uniformly distributed.
+func (j *jitter) upTo(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
 	}
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	tries        = 3               // failed tries in a row after which a queue is given up
-	stableAfter  = 2 * time.Second // a stream that lasted this long ends a row of failures
-	maxBusyWait  = time.Minute     // the longest wait that a Busy can ask for
-	maxBusyBytes = keepBytes       // the longest Busy line
-	answerBytes  = 512             // a dialer's read buffer
+	maxConsecutiveFailures = 3                // consecutive failures after which the queue is discarded
+	stableAfter            = 2 * time.Second  // a stream that lasted this long resets the count of failures
+	maxBusyWait            = time.Minute      // upper bound of the wait that a Busy message requests
+	maxBusyBytes           = maxRetainedBytes // maximum length of a Busy line
+	replyBufferBytes       = 512              // size of a dialer's read buffer
 )
 
-const unreachableRemedy = "check that the peer runs and that the network lets its peer address through; tries go on by themselves"
+const unreachableRemedy = "check that the peer runs and that its peer address is reachable; connection attempts continue automatically"
 
-// link is the outgoing side towards one address: a bounded queue, and while
-// there is something to send a goroutine with a stream. Its fields belong to
-// the transport's mutex.
+// link is the outbound connection to one address: a bounded queue and, while there
+// are messages to send, a goroutine with a stream. Its mutable fields are guarded
+// by the transport's mutex.
 type link struct {
 	transport *Transport
 	address   string
-	queue     []queued
-	bytes     int
-	running   bool
-	wake      chan struct{} // tells the goroutine that the queue has grown
-	failures  int           // in a row
-	notBefore time.Time     // no dial before this time
+	queue     []queuedLine
+	bytes     int           // total length of the queued lines
+	running   bool          // whether the goroutine runs
+	wake      chan struct{} // signals the goroutine that the queue has grown
+	failures  int           // consecutive failed sessions
+	nextDial  time.Time     // earliest time of the next dial
 }
 
-// queued is a line that waits to be sent.
-type queued struct {
-	line  []byte
-	since time.Time
+// queuedLine is a line waiting to be sent.
+type queuedLine struct {
+	line     []byte
+	queuedAt time.Time
 }
 
 // newLink returns a link without a stream.
@@ -49,17 +49,17 @@
 	return &link{transport: transport, address: address, wake: make(chan struct{}, 1)}
 }
 
-// queueLocked adds a line, dropping the oldest ones beyond the bounds, and
-// makes sure that a goroutine sends it.
-func (l *link) queueLocked(line []byte) {
+// enqueueLocked appends a line, drops the oldest lines beyond the limits, and starts
+// or wakes the goroutine that sends them. A single line is kept whatever its size.
+func (l *link) enqueueLocked(line []byte) {
 	limits := &l.transport.config.Limits
-	l.queue = append(l.queue, queued{line: line, since: time.Now()})
+	l.queue = append(l.queue, queuedLine{line: line, queuedAt: time.Now()})
 	l.bytes += len(line)
 	for len(l.queue) > 1 && (len(l.queue) > limits.QueueMessages || l.bytes > limits.QueueBytes) {
 		l.dropOldestLocked()
 	}
 	if !l.running {
-		l.running = l.transport.startLocked(l.run)
+		l.running = l.transport.startGoroutineLocked(l.run)
 	}
 	if !l.running {
 		l.discardLocked()
@@ -71,30 +71,30 @@
 	}
 }
 
-// dropOldestLocked drops one line.
+// dropOldestLocked drops and counts the oldest line.
 func (l *link) dropOldestLocked() {
 	l.bytes -= len(l.queue[0].line)
-	l.queue[0] = queued{}
+	l.queue[0] = queuedLine{}
 	l.queue = l.queue[1:]
 	l.transport.totals.dropped.Add(1)
 }
 
-// expireLocked drops the lines that waited too long.
+// expireLocked drops the lines that have waited longer than QueueAge.
 func (l *link) expireLocked() {
 	oldest := time.Now().Add(-l.transport.config.Limits.QueueAge)
-	for len(l.queue) > 0 && l.queue[0].since.Before(oldest) {
+	for len(l.queue) > 0 && l.queue[0].queuedAt.Before(oldest) {
 		l.dropOldestLocked()
 	}
 }
 
-// discardLocked drops the queue.
+// discardLocked drops and counts all queued lines.
 func (l *link) discardLocked() {
 	l.transport.totals.dropped.Add(uint64(len(l.queue)))
 	l.queue, l.bytes = nil, 0
 }
 
-// take empties the queue.
-func (l *link) take() [][]byte {
+// takeQueue removes and returns the queued lines that have not expired.
+func (l *link) takeQueue() [][]byte {
 	l.transport.mutex.Lock()
 	defer l.transport.mutex.Unlock()
 	l.expireLocked()
@@ -106,12 +106,12 @@
 	return lines
 }
 
-// run keeps a stream while there is something to send.
+// run opens streams and sends the queue until it is empty or ctx ends.
 func (l *link) run(ctx context.Context) {
-	for sleep.For(ctx, l.untilAllowed()) {
+	for sleep.For(ctx, l.dialDelay()) {
 		started := time.Now()
 		err := l.session(ctx)
-		if l.finished(err, time.Since(started)) {
+		if l.endSession(err, time.Since(started)) {
 			return
 		}
 	}
@@ -121,23 +121,23 @@
 	l.running = false
 }
 
-// untilAllowed returns the wait before the next dial.
-func (l *link) untilAllowed() time.Duration {
+// dialDelay returns the delay before the next dial.
+func (l *link) dialDelay() time.Duration {
 	l.transport.mutex.Lock()
 	defer l.transport.mutex.Unlock()
-	return time.Until(l.notBefore)
+	return time.Until(l.nextDial)
 }
 
-// finished takes in how a session ended and reports whether the goroutine may
-// end. It then has marked the link as not running.
-func (l *link) finished(err error, lasted time.Duration) bool {
+// endSession records the result of a session. When no lines are queued, it marks the
+// link as not running and returns true: the goroutine must end.
+func (l *link) endSession(err error, lasted time.Duration) bool {
 	l.transport.mutex.Lock()
 	defer l.transport.mutex.Unlock()
 	if err == nil || lasted >= stableAfter {
 		l.failures = 0
 	}
 	if err != nil {
-		l.failedLocked(err)
+		l.recordFailureLocked(err)
 	}
 	l.expireLocked()
 	if len(l.queue) > 0 {
@@ -150,25 +150,26 @@
 	return true
 }
 
-// failedLocked sets the backoff, and gives the queue up after some tries.
-func (l *link) failedLocked(err error) {
+// recordFailureLocked sets the time of the next dial. After several consecutive failures
+// it discards the queue, unless the peer replied that it is busy.
+func (l *link) recordFailureLocked(err error) {
 	limits := &l.transport.config.Limits
 	l.failures++
 	wait := l.transport.jitter.backoff(limits.BackoffBase, limits.BackoffMax, l.failures)
 	var busy *busyError
 	if errors.As(err, &busy) {
 		wait = busy.wait
-	} else if l.failures >= tries {
+	} else if l.failures >= maxConsecutiveFailures {
 		l.discardLocked()
 		l.transport.limiter.log("transport.unreachable", l.address, err)
 	}
-	l.notBefore = time.Now().Add(wait)
+	l.nextDial = time.Now().Add(wait)
 }
 
-// session opens a stream and writes the queue until the stream has been idle
-// for long, and then returns nil, or until it fails.
+// session opens a stream and writes the queue. It returns nil after the stream has
+// been idle for IdleTimeout, and an error when the stream fails.
 func (l *link) session(ctx context.Context) error {
-	conn, proven, err := l.transport.dial(ctx, l.address)
+	conn, verifiedNames, err := l.transport.dial(ctx, l.address)
 	if err != nil {
 		return fault.Wrap(err, fault.Peer, unreachableRemedy, "open a stream to %s", l.address)
 	}
@@ -178,30 +179,31 @@
 	ended := make(chan error, 1)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	answered := make(chan struct{})
+	readerDone := make(chan struct{})
 	go func() {
-		defer close(answered)
-		ended <- l.transport.readAnswer(conn, proven)
+		defer close(readerDone)
+		ended <- l.transport.readReply(conn, verifiedNames)
 		conn.Close()
 	}()
 	err = l.write(ctx, conn, ended)
 	conn.Close()
-	<-answered
-	return l.cause(err, ended)
+	<-readerDone
+	return l.sessionError(err, ended)
 }
 
-// cause prefers what the listener answered to the failed write it led to.
-func (l *link) cause(err error, ended <-chan error) error {
+// sessionError returns the error of a session. A reply of the listener takes precedence
+// over the write error that it caused.
+func (l *link) sessionError(err error, ended <-chan error) error {
 	if err == nil {
 		return nil
 	}
-	if answer := <-ended; !errors.Is(answer, net.ErrClosed) {
-		return answer
+	if readErr := <-ended; !errors.Is(readErr, net.ErrClosed) {
+		return readErr
 	}
 	return err
 }
 
-// write sends Hello and then the queue.
+// write sends Hello and then the queued lines.
 func (l *link) write(ctx context.Context, conn net.Conn, ended chan error) error {
 	limits := &l.transport.config.Limits
 	lines := newLineWriter(conn, l.transport.config.Compression)
@@ -210,7 +212,7 @@
 	if err != nil {
 		return err
 	}
-	batch := append([][]byte{hello}, l.take()...)
+	batch := append([][]byte{hello}, l.takeQueue()...)
 	idle := time.NewTimer(limits.IdleTimeout)
 	defer idle.Stop()
 	for first := true; ; first = false {
@@ -221,19 +223,19 @@
 		}
 		l.transport.totals.messagesSent.Add(uint64(len(batch)))
 		if first {
-			l.transport.limiter.settled("transport.unreachable", l.address)
+			l.transport.limiter.resolve("transport.unreachable", l.address)
 		}
-		if batch, err = l.next(ctx, idle, ended); len(batch) == 0 {
+		if batch, err = l.nextBatch(ctx, idle, ended); len(batch) == 0 {
 			return err
 		}
 	}
 }
 
-// next waits for queued messages. It returns none, and no error, once the link
-// has been idle for its timeout.
-func (l *link) next(ctx context.Context, idle *time.Timer, ended chan error) ([][]byte, error) {
+// nextBatch waits for queued lines and returns them. It returns no lines and a nil error
+// after IdleTimeout without any.
+func (l *link) nextBatch(ctx context.Context, idle *time.Timer, ended chan error) ([][]byte, error) {
 	for {
-		if batch := l.take(); len(batch) > 0 {
+		if batch := l.takeQueue(); len(batch) > 0 {
 			return batch, nil
 		}
 		idle.Reset(l.transport.config.Limits.IdleTimeout)
@@ -250,12 +252,12 @@
 	}
 }
 
-// dial connects, and under TLS proves both sides. It returns the names that the
-// listener's certificate proves. Host names are refused: a register made up by
-// a peer must not start look-ups.
+// dial connects to address and, unless in plain mode, authenticates both sides. It
+// returns the names in the listener's certificate, nil in plain mode. Host names
+// are rejected, because an address forged by a peer must not cause DNS look-ups.
 func (t *Transport) dial(ctx context.Context, address string) (net.Conn, []string, error) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return nil, nil, fault.Wrap(err, fault.Peer, "advertise an IP and a port", "the peer address %q is wrong", address)
+		return nil, nil, fault.Wrap(err, fault.Peer, "advertise an IP and a port", "the peer address %q is not an IP and a port", address)
 	}
 	ctx, cancel := context.WithTimeout(ctx, t.config.Limits.HandshakeTimeout)
 	defer cancel()
@@ -263,28 +265,28 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	conn, proven, err := t.credentials.client(ctx, &countedConn{Conn: raw, totals: &t.totals})
+	conn, verifiedNames, err := t.credentials.client(ctx, &countedConn{Conn: raw, totals: &t.totals})
 	if err != nil {
 		raw.Close()
 		return nil, nil, err
 	}
 	t.totals.streamsOpened.Add(1)
-	return conn, proven, nil
+	return conn, verifiedNames, nil
 }
 
-// busyError is a listener's refusal with the wait that it asked for.
+// busyError is a listener's Busy reply with the wait that it requested.
 type busyError struct {
 	wait time.Duration
 }
 
 // Error implements the error interface.
-func (b *busyError) Error() string { return "the peer is busy for " + b.wait.String() }
+func (b *busyError) Error() string { return "the peer is busy and asks to wait for " + b.wait.String() }
 
-// readAnswer reads until the listener closes the stream. A listener sends
-// nothing but, at most, one Busy in plain JSON.
-func (t *Transport) readAnswer(conn net.Conn, proven []string) error {
-	answer := &lineReader{buffered: bufio.NewReaderSize(conn, answerBytes), maximum: maxBusyBytes}
-	line, err := answer.next()
+// readReply reads until the listener closes the stream and returns the reason as
+// an error. A listener sends at most one message, a Busy in uncompressed JSON.
+func (t *Transport) readReply(conn net.Conn, verifiedNames []string) error {
+	reader := &lineReader{buffered: bufio.NewReaderSize(conn, replyBufferBytes), maximum: maxBusyBytes}
+	line, err := reader.next()
 	if err != nil {
 		if errors.Is(err, io.EOF) {
 			return fault.Wrap(err, fault.Peer, unreachableRemedy, "the peer closed the stream")
@@ -296,9 +298,9 @@
 		return err
 	}
 	if envelope.Busy == nil {
-		return refused(causeGarbage, fault.New(fault.Peer, garbageRemedy, "a listener sent a %s message, which only a dialer may", envelope.Kind()))
+		return withCause(causeGarbage, fault.New(fault.Peer, protocolRemedy, "a listener sent a %s message, which only a dialer may send", envelope.Kind()))
 	}
-	if err := checkProven(envelope.From, proven); err != nil {
+	if err := checkPeerName(envelope.From, verifiedNames); err != nil {
 		return err
 	}
 	t.totals.streamsBusy.Add(1)
@@ -307,7 +309,7 @@
 	return &busyError{wait: wait}
 }
 
-// deliver hands a message to the owner.
+// deliver counts a message and passes it to Config.Deliver.
 func (t *Transport) deliver(received Received) {
 	t.totals.messagesReceived.Add(1)
 	t.config.Deliver(received)
--- a/internal/transport/log_limiter.go
+++ b/internal/transport/log_limiter.go
@@ -12,74 +12,78 @@
 )
 
 const (
-	logInterval = time.Minute // between two logs of one cause and peer
-	maxLogged   = 1024        // causes and peers remembered
+	logInterval        = time.Minute // minimum time between two log lines for the same event, peer and cause
+	maxTrackedProblems = 1024        // combinations tracked
 )
 
-// occurrence is one cause with one peer.
-type occurrence struct {
+// problemKey identifies a recurring problem with a peer.
+type problemKey struct {
 	event string
 	peer  string
 	cause cause
 }
 
-// logLimiter logs each cause and peer at most once an interval, so that a
-// misbehaving peer cannot fill the log.
+// logLimiter logs each combination of event, peer and cause at most once per
+// logInterval, so that a misbehaving peer cannot flood the log. It is safe for
+// concurrent use.
 type logLimiter struct {
-	logger log.Interface
-	mutex  sync.Mutex
-	last   map[occurrence]time.Time
+	logger     log.Interface
+	mutex      sync.Mutex
+	lastLogged map[problemKey]time.Time // when each was last logged
 }
 
-// newLogLimiter returns a limiter that has logged nothing.
+// newLogLimiter returns a limiter for logger.
 func newLogLimiter(logger log.Interface) *logLimiter {
-	return &logLimiter{logger: logger, last: make(map[occurrence]time.Time)}
+	return &logLimiter{logger: logger, lastLogged: make(map[problemKey]time.Time)}
 }
 
-// log logs the error unless its cause was logged within the interval.
+// log logs the error unless the same event, peer and cause were logged within
+// logInterval.
 func (l *logLimiter) log(event, peer string, err error) {
 	cause := causeOf(err)
-	if l.due(occurrence{event: event, peer: peer, cause: cause}, time.Now()) {
+	if l.allow(problemKey{event: event, peer: peer, cause: cause}, time.Now()) {
 		logging.Problem(l.logger, event, err, logging.Fields{"peer": peer, "cause": cause})
 	}
 }
 
-// settled forgets a cause, so that its next occurrence is logged at once.
-func (l *logLimiter) settled(event, peer string) {
+// resolve records that a problem is over, so that its next occurrence is logged
+// immediately.
+func (l *logLimiter) resolve(event, peer string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	maps.DeleteFunc(l.last, func(known occurrence, _ time.Time) bool { return known.event == event && known.peer == peer })
+	maps.DeleteFunc(l.lastLogged, func(logged problemKey, _ time.Time) bool { return logged.event == event && logged.peer == peer })
 }
 
-// due reports whether the cause may be logged now, and remembers that it was.
-func (l *logLimiter) due(cause occurrence, now time.Time) bool {
+// allow reports whether a problem may be logged now, and if so records the time. It
+// returns false while maxTrackedProblems other problems are tracked.
+func (l *logLimiter) allow(cause problemKey, now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if last, known := l.last[cause]; known && now.Sub(last) < logInterval {
+	if last, found := l.lastLogged[cause]; found && now.Sub(last) < logInterval {
 		return false
 	}
-	l.makeRoom(now)
-	if len(l.last) >= maxLogged {
+	l.removeExpired(now)
+	if len(l.lastLogged) >= maxTrackedProblems {
 		return false
 	}
-	l.last[cause] = now
+	l.lastLogged[cause] = now
 	return true
 }
 
-// makeRoom forgets what is older than the interval once there are many causes.
-func (l *logLimiter) makeRoom(now time.Time) {
-	if len(l.last) < maxLogged {
+// removeExpired removes problems older than logInterval once maxTrackedProblems are tracked.
+func (l *logLimiter) removeExpired(now time.Time) {
+	if len(l.lastLogged) < maxTrackedProblems {
 		return
 	}
-	for cause, last := range l.last {
+	for cause, last := range l.lastLogged {
 		if now.Sub(last) >= logInterval {
-			delete(l.last, cause)
+			delete(l.lastLogged, cause)
 		}
 	}
 }
 
-// hostOf returns the IP of a socket address, so that the ports of one peer
-// count as one.
+// hostOf returns the IP of a socket address, so that connections from several ports
+// of a peer count as one peer.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -5,16 +5,16 @@
 	"net"
 )
 
-// Network opens sockets. Tests and the lab replace it to add delay, loss and
-// cuts.
+// Network opens sockets. It can be replaced in tests to simulate delay, loss and cut
+// connections. Implementations must be safe for concurrent use.
 type Network interface {
 	Listen(ctx context.Context, address string) (net.Listener, error)
 	ListenPacket(ctx context.Context, address string) (net.PacketConn, error)
-	// Dial connects to address from the local IP given, any when "".
+	// Dial connects to address from the local IP from, from any when it is empty.
 	Dial(ctx context.Context, from, address string) (net.Conn, error)
 }
 
-// System is the operating system's network: TCP and UDP.
+// System is the Network of the operating system: TCP and UDP.
 type System struct{}
 
 // Listen implements Network.
--- a/internal/transport/security_test.go
+++ b/internal/transport/security_test.go
@@ -49,7 +49,7 @@
 	must.NoError(t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 }
 
-// issue writes the files of a node into a directory of its own.
+// issue writes the key files of a node into a new directory.
 func (a *authority) issue(t *testing.T, name string, datagramKey byte) Security {
 	t.Helper()
 	directory := t.TempDir()
@@ -74,7 +74,7 @@
 	return security
 }
 
-// writeKeys writes datagram keys, each of one byte repeated.
+// writeKeys writes datagram keys that differ in their first byte.
 func writeKeys(t *testing.T, file string, keys ...byte) {
 	t.Helper()
 	var text string
@@ -86,7 +86,7 @@
 	must.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 }
 
-func secured(security Security) func(*Config) {
+func withSecurity(security Security) func(*Config) {
 	return func(config *Config) {
 		config.Security = security
 		config.Limits.BackoffBase = time.Nanosecond
@@ -94,19 +94,21 @@
 	}
 }
 
-func ping(from string) wire.Envelope { return wire.Envelope{From: from, Ping: &wire.Ping{Number: 1}} }
+func pingMessage(from string) wire.Envelope {
+	return wire.Envelope{From: from, Ping: &wire.Ping{Number: 1}}
+}
 
-func TestSecuredPeersTalk(t *testing.T) {
+func TestAuthenticatedPeersExchangeMessages(t *testing.T) {
 	fleet := newAuthority(t)
-	alpha := startNode(t, "alpha", secured(fleet.issue(t, "alpha", 1)))
-	beta := startNode(t, "beta", secured(fleet.issue(t, "beta", 1)))
-	alpha.Send(beta.Address(), staged("alpha", 3))
-	must.Eq(t, 3, beta.next(t, "staged").Envelope.Staged.Version.Revision)
-	beta.SendDatagram(alpha.Address(), ping("beta"))
-	alpha.next(t, "ping")
+	alpha := startNode(t, "alpha", withSecurity(fleet.issue(t, "alpha", 1)))
+	beta := startNode(t, "beta", withSecurity(fleet.issue(t, "beta", 1)))
+	alpha.Send(beta.Address(), stagedMessage("alpha", 3))
+	must.Eq(t, 3, beta.awaitMessage(t, "staged").Envelope.Staged.Version.Revision)
+	beta.SendDatagram(alpha.Address(), pingMessage("beta"))
+	alpha.awaitMessage(t, "ping")
 }
 
-func TestUnprovenPeersAreRefused(t *testing.T) {
+func TestUnauthenticatedPeersAreRejected(t *testing.T) {
 	fleet := newAuthority(t)
 	other := newAuthority(t).issue(t, "alpha", 1)
 	other.AuthorityFile = fleet.issue(t, "alpha", 1).AuthorityFile
@@ -116,47 +118,48 @@
 		"other name":      fleet.issue(t, "beta", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			events := &logged{}
+			events := &logBuffer{}
 			victim := startNode(t, "victim", func(config *Config) {
-				secured(fleet.issue(t, "victim", 9))(config)
+				withSecurity(fleet.issue(t, "victim", 9))(config)
 				config.Logger = logging.New(events, log.InfoLevel)
 			})
-			intruder := startNode(t, "alpha", secured(security))
-			intruder.Send(victim.Address(), staged("alpha", 1))
-			intruder.SendDatagram(victim.Address(), ping("alpha"))
-			victim.until(t, func(counters Counters) bool {
+			intruder := startNode(t, "alpha", withSecurity(security))
+			intruder.Send(victim.Address(), stagedMessage("alpha", 1))
+			intruder.SendDatagram(victim.Address(), pingMessage("alpha"))
+			victim.awaitCounters(t, func(counters Counters) bool {
 				return counters.StreamsClosedForFault > 0 && counters.DatagramsRefused == 1
 			})
-			victim.until(t, func(Counters) bool { return events.count("cause=authentication") == 2 })
+			victim.awaitCounters(t, func(Counters) bool { return events.count("cause=authentication") == 2 })
 			must.Eq(t, 0, victim.Counters().MessagesReceived)
 		})
 	}
 }
 
-// A listener that cannot prove itself gets nothing to read.
-func TestDialerRefusesAnUnprovenListener(t *testing.T) {
-	alpha := startNode(t, "alpha", secured(newAuthority(t).issue(t, "alpha", 1)))
-	impostor := startNode(t, "impostor", secured(newAuthority(t).issue(t, "impostor", 1)))
-	alpha.Send(impostor.Address(), staged("alpha", 1))
-	alpha.until(t, func(counters Counters) bool { return counters.Dropped == 1 })
+// A dialer must not send any message to a listener that it cannot authenticate.
+func TestDialerRejectsUnauthenticatedListener(t *testing.T) {
+	alpha := startNode(t, "alpha", withSecurity(newAuthority(t).issue(t, "alpha", 1)))
+	impostor := startNode(t, "impostor", withSecurity(newAuthority(t).issue(t, "impostor", 1)))
+	alpha.Send(impostor.Address(), stagedMessage("alpha", 1))
+	alpha.awaitCounters(t, func(counters Counters) bool { return counters.Dropped == 1 })
 	must.Eq(t, 0, alpha.Counters().StreamsOpened)
 	must.Eq(t, 0, impostor.Counters().MessagesReceived)
 }
 
-// touch makes a file look changed and the node look at it.
-func touch(t *testing.T, credentials *credentials, files ...string) {
+// expireModTimes changes the modification times of files and makes the next use of the
+// credentials check them.
+func expireModTimes(t *testing.T, credentials *credentials, files ...string) {
 	t.Helper()
 	for _, file := range files {
 		later := time.Now().Add(time.Hour)
 		must.NoError(t, os.Chtimes(file, later, later))
 	}
-	credentials.certificate.looked, credentials.authority.looked, credentials.keys.looked = time.Time{}, time.Time{}, time.Time{}
+	credentials.certificate.lastCheck, credentials.authority.lastCheck, credentials.keys.lastCheck = time.Time{}, time.Time{}, time.Time{}
 }
 
-func TestKeysAreReloadedAndBrokenOnesAreNot(t *testing.T) {
+func TestValidKeyFilesAreReloadedAndInvalidOnesIgnored(t *testing.T) {
 	fleet, next := newAuthority(t), newAuthority(t)
 	security := fleet.issue(t, "alpha", 1)
-	events := &logged{}
+	events := &logBuffer{}
 	loaded, err := loadCredentials(security, newLogLimiter(logging.New(events, log.InfoLevel)))
 	must.NoError(t, err)
 	before := loaded.certificate.current()
@@ -164,7 +167,7 @@
 	for _, file := range []string{security.CertificateFile, security.AuthorityFile, security.DatagramKeyFile} {
 		must.NoError(t, os.WriteFile(file, []byte("half a fi"), 0o600))
 	}
-	touch(t, loaded, security.CertificateFile, security.AuthorityFile, security.DatagramKeyFile)
+	expireModTimes(t, loaded, security.CertificateFile, security.AuthorityFile, security.DatagramKeyFile)
 	must.Eq(t, before, loaded.certificate.current())
 	must.NotNil(t, loaded.authority.current())
 	must.SliceLen(t, 1, loaded.keys.current())
@@ -177,53 +180,54 @@
 		must.NoError(t, os.Rename(from, to))
 	}
 	writeKeys(t, security.DatagramKeyFile, 2, 1)
-	touch(t, loaded, security.CertificateFile, security.DatagramKeyFile)
+	expireModTimes(t, loaded, security.CertificateFile, security.DatagramKeyFile)
 	must.NotEq(t, before.Certificate[0], loaded.certificate.current().Certificate[0])
 	must.SliceLen(t, 2, loaded.keys.current())
 }
 
-func TestDatagramKeysRotate(t *testing.T) {
+func TestDatagramKeyRotation(t *testing.T) {
 	holder := func(keys ...byte) *credentials {
 		file := filepath.Join(t.TempDir(), "keys")
 		writeKeys(t, file, keys...)
-		loaded := &credentials{keys: newReloaded(readDatagramKeys, newLogLimiter(logging.Discard()), file)}
+		loaded := &credentials{keys: newReloadedValue(readDatagramKeys, newLogLimiter(logging.Discard()), file)}
 		must.NoError(t, loaded.keys.load())
 		return loaded
 	}
 	old, both, renewed := holder(1), holder(2, 1), holder(2)
 	line := []byte("{}\n")
 	for _, sender := range []*credentials{old, both, renewed} {
-		opened, err := both.unseal(sender.seal([]byte("{}\n")))
+		opened, err := both.verifyTag(sender.appendTag([]byte("{}\n")))
 		must.NoError(t, err)
 		must.Eq(t, line, opened)
 	}
-	_, err := renewed.unseal(old.seal([]byte("{}\n")))
+	_, err := renewed.verifyTag(old.appendTag([]byte("{}\n")))
 	must.Eq(t, causeAuthentication, causeOf(err))
-	_, err = old.unseal([]byte("short"))
+	_, err = old.verifyTag([]byte("short"))
 	must.Error(t, err)
 }
 
-func TestSecuritySettingsAreWhole(t *testing.T) {
-	sound := newAuthority(t).issue(t, "alpha", 1)
-	short := sound
+func TestInvalidSecuritySettingsAreRejected(t *testing.T) {
+	valid := newAuthority(t).issue(t, "alpha", 1)
+	short := valid
 	short.DatagramKeyFile = filepath.Join(t.TempDir(), "short")
 	must.NoError(t, os.WriteFile(short.DatagramKeyFile, []byte("abcd\n"), 0o600))
-	both := sound
+	both := valid
 	both.Plain = true
-	swapped := sound
-	swapped.KeyFile = sound.AuthorityFile
+	swapped := valid
+	swapped.KeyFile = valid.AuthorityFile
 	for name, security := range map[string]Security{
-		"none": {}, "missing": {CertificateFile: "nowhere", KeyFile: "nowhere"}, "short key": short, "plain and keys": both, "swapped": swapped,
+		"no files": {}, "missing files": {CertificateFile: "nowhere", KeyFile: "nowhere"}, "short key": short, "plain and keys": both, "swapped files": swapped,
 	} {
 		_, err := loadCredentials(security, newLogLimiter(logging.Discard()))
 		must.Eq(t, fault.Settings, fault.KindOf(err), must.Sprint(name))
 	}
 }
 
-// A refused dialer that never answers must not keep the listener busy.
-func TestSilentPeersHoldNoPlace(t *testing.T) {
+// Peers that connect and send nothing must not occupy streams of the listener beyond
+// the handshake timeout, neither accepted nor rejected ones.
+func TestUnresponsivePeersDoNotOccupyStreams(t *testing.T) {
 	victim := startNode(t, "victim", func(config *Config) {
-		secured(newAuthority(t).issue(t, "victim", 1))(config)
+		withSecurity(newAuthority(t).issue(t, "victim", 1))(config)
 		config.Limits.MaxStreams = 2
 		config.Limits.HandshakeTimeout = 50 * time.Millisecond
 	})
@@ -232,7 +236,7 @@
 		must.NoError(t, err)
 		defer conn.Close()
 	}
-	victim.until(t, func(counters Counters) bool {
+	victim.awaitCounters(t, func(counters Counters) bool {
 		return counters.StreamsAccepted+counters.StreamsRefused == 10 && counters.StreamsIn == 0
 	})
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,8 +1,8 @@
 // Package transport carries typed messages between nodes: JSON lines on
 // compressed one-way TCP streams, opened on demand and closed when idle, and
 // single JSON lines in UDP datagrams. Both are authenticated unless the
-// settings name the plain mode. Delivery is best effort and in order per
-// stream; whatever is lost is counted and left to the protocols' repair.
+// settings enable the plain mode. Delivery is best effort and ordered within a
+// stream. Dropped messages are counted; the protocols above recover from losses.
 package transport
 
 import (
@@ -17,29 +17,31 @@
 	"sliphead/internal/wire"
 )
 
-// Transport is one node's end of all its peer streams and datagrams.
+// Transport sends and receives one node's peer messages. Its methods are safe for
+// concurrent use.
 type Transport struct {
-	config      Config
-	localIP     string
-	credentials *credentials
-	totals      totals
-	limiter     *logLimiter
-	admission   *rate.Limiter
-	jitter      jitter
-	longLines   budget
+	config         Config
+	localIP        string
+	credentials    *credentials
+	totals         totals
+	limiter        *logLimiter
+	admission      *rate.Limiter // of inbound streams
+	jitter         jitter
+	longLineBudget budget // memory of long inbound lines
 
 	bound     chan struct{} // closed once both listeners are open
 	address   string        // set before bound is closed
 	datagrams net.PacketConn
 
-	mutex   sync.Mutex
-	context context.Context // of Run; nil before and after
-	links   map[string]*link
-	inbound map[string][]*inboundStream // open streams by the peer's name
-	workers sync.WaitGroup              // links and inbound streams
+	mutex      sync.Mutex
+	context    context.Context             // of Run; nil while Run is not running
+	links      map[string]*link            // by address
+	inbound    map[string][]*inboundStream // open streams by the peer's name, oldest first
+	goroutines sync.WaitGroup              // goroutines of links and inbound streams
 }
 
-// New checks the configuration and loads keys. It opens no sockets.
+// New checks the configuration and loads the keys. It opens no sockets. Errors are
+// of kind fault.Settings, or fault.Internal for a missing required field.
 func New(config Config) (*Transport, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -47,15 +49,15 @@
 	}
 	host, _, _ := net.SplitHostPort(config.Bind)
 	transport := &Transport{
-		config:    config,
-		localIP:   host,
-		limiter:   newLogLimiter(config.Logger),
-		admission: rate.NewLimiter(rate.Limit(config.Limits.StreamsPerSecond), config.Limits.StreamBurst),
-		jitter:    jitter{random: config.Random},
-		longLines: budget{most: int64(config.Limits.LongLineBytes)},
-		bound:     make(chan struct{}),
-		links:     make(map[string]*link),
-		inbound:   make(map[string][]*inboundStream),
+		config:         config,
+		localIP:        host,
+		limiter:        newLogLimiter(config.Logger),
+		admission:      rate.NewLimiter(rate.Limit(config.Limits.StreamsPerSecond), config.Limits.StreamBurst),
+		jitter:         jitter{random: config.Random},
+		longLineBudget: budget{limit: int64(config.Limits.LongLineBytes)},
+		bound:          make(chan struct{}),
+		links:          make(map[string]*link),
+		inbound:        make(map[string][]*inboundStream),
 	}
 	transport.credentials, err = loadCredentials(config.Security, transport.limiter)
 	if err != nil {
@@ -65,14 +67,14 @@
 }
 
 // Run opens the listeners and serves until ctx ends or a listener fails. It
-// returns after all goroutines have ended, and may be called once.
+// returns after all goroutines have ended. It must be called at most once.
 func (t *Transport) Run(ctx context.Context) error {
 	listener, packets, err := t.listen(ctx)
 	if err != nil {
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	t.open(ctx, listener.Addr().String(), packets)
+	t.markRunning(ctx, listener.Addr().String(), packets)
 	group.Go(func() error { return t.acceptStreams(ctx, listener) })
 	group.Go(func() error { return t.readDatagrams(ctx, packets) })
 	group.Go(func() error {
@@ -86,7 +88,7 @@
 	return err
 }
 
-// listen opens the stream and datagram listeners on one port.
+// listen opens the stream and datagram listeners on the same port.
 func (t *Transport) listen(ctx context.Context) (net.Listener, net.PacketConn, error) {
 	const remedy = "free the address or change listen.peer"
 	listener, err := t.config.Network.Listen(ctx, t.config.Bind)
@@ -101,8 +103,8 @@
 	return listener, packets, nil
 }
 
-// open lets messages flow.
-func (t *Transport) open(ctx context.Context, address string, packets net.PacketConn) {
+// markRunning allows messages to be sent and closes bound.
+func (t *Transport) markRunning(ctx context.Context, address string, packets net.PacketConn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.context = ctx
@@ -111,42 +113,44 @@
 	close(t.bound)
 }
 
-// close waits for all links and streams to end.
+// close stops new goroutines from starting and waits for the running ones.
 func (t *Transport) close() {
 	t.mutex.Lock()
 	t.context = nil
 	t.mutex.Unlock()
-	t.workers.Wait()
+	t.goroutines.Wait()
 }
 
 // Bound is closed once both listeners are open.
 func (t *Transport) Bound() <-chan struct{} { return t.bound }
 
-// Address returns the address bound, for a Bind with port 0. Call it after
-// Bound is closed.
+// Address returns the address of the listeners, which matters for a Bind with port
+// 0. It must not be called before Bound is closed.
 func (t *Transport) Address() string { return t.address }
 
-// Counters returns the running totals.
+// Counters returns the totals since the start.
 func (t *Transport) Counters() Counters { return t.totals.read() }
 
-// start runs work in a goroutine that Run waits for, unless Run has ended.
-func (t *Transport) start(work func(ctx context.Context)) bool {
+// startGoroutine runs work in a goroutine that Run waits for. It returns false, without
+// running it, when Run is not running.
+func (t *Transport) startGoroutine(work func(ctx context.Context)) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.startLocked(work)
+	return t.startGoroutineLocked(work)
 }
 
-// startLocked is start for a caller that holds the mutex.
-func (t *Transport) startLocked(work func(ctx context.Context)) bool {
+// startGoroutineLocked is like startGoroutine. The caller must hold the mutex.
+func (t *Transport) startGoroutineLocked(work func(ctx context.Context)) bool {
 	if t.context == nil || t.context.Err() != nil {
 		return false
 	}
 	ctx := t.context
-	t.workers.Go(func() { work(ctx) })
+	t.goroutines.Go(func() { work(ctx) })
 	return true
 }
 
-// Send queues a message for the stream to address and returns at once.
+// Send queues a message for the stream to address and returns immediately. A message
+// that cannot be encoded is dropped and logged.
 func (t *Transport) Send(address string, envelope wire.Envelope) {
 	line, err := wire.Encode(envelope)
 	if err != nil {
@@ -157,25 +161,26 @@
 	t.SendEncoded(address, line)
 }
 
-// SendEncoded queues a line made by wire.Encode. The line is shared, not
-// copied: nobody may change it afterwards.
+// SendEncoded queues a line made by wire.Encode for the stream to address. The line
+// is not copied and must not be modified afterwards.
 func (t *Transport) SendEncoded(address string, line []byte) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	peer := t.links[address]
 	if peer == nil {
-		t.forgetIdleLinks()
+		t.removeIdleLinks()
 		peer = newLink(t, address)
 		t.links[address] = peer
 	}
-	peer.queueLocked(line)
+	peer.enqueueLocked(line)
 }
 
-// maxIdleLinks bounds the memory of addresses that could not be reached.
+// maxIdleLinks bounds the memory used for unreachable addresses: a link that ends
+// with an error stays in the map.
 const maxIdleLinks = 4096
 
-// forgetIdleLinks drops links without a goroutine once there are many.
-func (t *Transport) forgetIdleLinks() {
+// removeIdleLinks removes links without a goroutine once there are maxIdleLinks.
+func (t *Transport) removeIdleLinks() {
 	if len(t.links) < maxIdleLinks {
 		return
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -18,18 +18,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// hang is how long a test waits for what must come, to end a run that hangs.
-const hang = 20 * time.Second
+// testTimeout is the time after which a test that waits for an event fails.
+const testTimeout = 20 * time.Second
 
-// node is a transport that runs until the test ends.
-type node struct {
+// testNode is a transport that runs until the test ends.
+type testNode struct {
 	*Transport
 	received chan Received
 	stop     func()
 }
 
 // startNode runs a transport on a free loopback port.
-func startNode(t *testing.T, name string, change func(*Config)) *node {
+func startNode(t *testing.T, name string, change func(*Config)) *testNode {
 	t.Helper()
 	received := make(chan Received, 10000)
 	config := Config{
@@ -53,11 +53,11 @@
 		must.NoError(t, <-ended)
 	})
 	t.Cleanup(stop)
-	return &node{Transport: transport, received: received, stop: stop}
+	return &testNode{Transport: transport, received: received, stop: stop}
 }
 
-// next waits for a message of a kind.
-func (n *node) next(t *testing.T, kind string) Received {
+// awaitMessage waits for a message of the given kind and skips others.
+func (n *testNode) awaitMessage(t *testing.T, kind string) Received {
 	t.Helper()
 	for {
 		select {
@@ -65,49 +65,49 @@
 			if message.Envelope.Kind() == kind {
 				return message
 			}
-		case <-time.After(hang):
-			t.Fatalf("no %s message came, at %+v", kind, n.Counters())
+		case <-time.After(testTimeout):
+			t.Fatalf("no %s message received within the timeout, counters %+v", kind, n.Counters())
 		}
 	}
 }
 
-// until waits for a condition on the counters.
-func (n *node) until(t *testing.T, condition func(Counters) bool) {
+// awaitCounters waits for a condition on the counters.
+func (n *testNode) awaitCounters(t *testing.T, condition func(Counters) bool) {
 	t.Helper()
 	for started := time.Now(); !condition(n.Counters()); time.Sleep(time.Millisecond) {
-		if time.Since(started) > hang {
-			t.Fatalf("the condition does not come, at %+v", n.Counters())
+		if time.Since(started) > testTimeout {
+			t.Fatalf("condition on the counters not met within the timeout, counters %+v", n.Counters())
 		}
 	}
 }
 
-// untilAllowed returns the wait before the next dial of a known address.
-func (n *node) untilAllowed(address string) time.Duration {
+// dialDelay returns the delay before the next dial of an address with a link.
+func (n *testNode) dialDelay(address string) time.Duration {
 	n.mutex.Lock()
 	peer := n.links[address]
 	n.mutex.Unlock()
-	return peer.untilAllowed()
+	return peer.dialDelay()
 }
 
-// logged is a log that can be read while it is written.
-type logged struct {
+// logBuffer is a log buffer that is safe for concurrent use.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
 }
 
-func (l *logged) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *logged) count(part string) int {
+func (l *logBuffer) count(part string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return strings.Count(l.text.String(), part)
 }
 
-func staged(from string, revision uint64) wire.Envelope {
+func stagedMessage(from string, revision uint64) wire.Envelope {
 	return wire.Envelope{From: from, Staged: &wire.Staged{Version: version.Version{Revision: revision}}}
 }
 
@@ -117,16 +117,17 @@
 		beta := startNode(t, "beta", nil)
 		const count = 200
 		for revision := range uint64(count) {
-			alpha.Send(beta.Address(), staged("alpha", revision))
+			alpha.Send(beta.Address(), stagedMessage("alpha", revision))
 		}
-		must.Eq(t, "alpha", beta.next(t, "hello").Envelope.Hello.Member.Name)
+		must.Eq(t, "alpha", beta.awaitMessage(t, "hello").Envelope.Hello.Member.Name)
 		for revision := range uint64(count) {
-			must.Eq(t, revision, beta.next(t, "staged").Envelope.Staged.Version.Revision)
+			must.Eq(t, revision, beta.awaitMessage(t, "staged").Envelope.Staged.Version.Revision)
 		}
 		must.Eq(t, 1, alpha.Counters().StreamsOpened)
 		must.Eq(t, 0, alpha.Counters().Dropped)
-		// The sender counts once its write returns, which may be after all has been read.
-		alpha.until(t, func(sent Counters) bool { return sent.StreamBytesSent == beta.Counters().StreamBytesReceived })
+		// The sender updates its counters after the write returns, which may be after the
+		// receiver has read everything.
+		alpha.awaitCounters(t, func(sent Counters) bool { return sent.StreamBytesSent == beta.Counters().StreamBytesReceived })
 	}
 }
 
@@ -134,7 +135,7 @@
 	alpha := startNode(t, "alpha", nil)
 	beta := startNode(t, "beta", nil)
 	alpha.SendDatagram(beta.Address(), wire.Envelope{From: "alpha", Ping: &wire.Ping{Number: 7}})
-	message := beta.next(t, "ping")
+	message := beta.awaitMessage(t, "ping")
 	must.True(t, message.Datagram)
 	must.Eq(t, alpha.Address(), message.Remote)
 	must.Eq(t, 7, message.Envelope.Ping.Number)
@@ -144,9 +145,9 @@
 	alpha := startNode(t, "alpha", func(config *Config) { config.Limits.IdleTimeout = 20 * time.Millisecond })
 	beta := startNode(t, "beta", nil)
 	for opened := range uint64(3) {
-		alpha.Send(beta.Address(), staged("alpha", opened))
-		beta.next(t, "staged")
-		alpha.until(t, func(counters Counters) bool { return counters.StreamsOut == 0 })
+		alpha.Send(beta.Address(), stagedMessage("alpha", opened))
+		beta.awaitMessage(t, "staged")
+		alpha.awaitCounters(t, func(counters Counters) bool { return counters.StreamsOut == 0 })
 		must.Eq(t, opened+1, alpha.Counters().StreamsOpened)
 	}
 	must.Eq(t, 0, alpha.Counters().Dropped)
