--- a/internal/source/poll.go
+++ b/internal/source/poll.go
@@ -12,41 +12,41 @@
 	"sliphead/internal/sleep"
 )
 
-// Due tells a poll whether to read the list now, and the middle of the wait
-// until the next question.
-type Due func() (read bool, interval time.Duration)
+// PollPolicy decides whether the machine list is requested now, and returns the mean wait
+// before the next decision.
+type PollPolicy func() (read bool, interval time.Duration)
 
-// Poll reads the machine list until ctx ends whenever that is due, at intervals
-// drawn between half and one and a half of the one due so that a fleet does not
-// ask in step. Each list read is emitted; a failure is logged once until it
-// changes and emits nothing, so that the last list stays in use.
-func (m *Machines) Poll(ctx context.Context, due Due, random *rand.Rand, logger log.Interface, emit func([]Machine)) {
-	known := logging.NewProblems(logger)
+// Poll requests the machine list until ctx ends, whenever policy decides so. The waits
+// are drawn between 0.5 and 1.5 times the interval, so that the nodes of a fleet do
+// not send their requests at the same time. Each list is emitted. A failure is logged
+// once until its text changes and emits nothing, so that the last list stays in use.
+func (m *Machines) Poll(ctx context.Context, policy PollPolicy, random *rand.Rand, logger log.Interface, emit func([]Machine)) {
+	problems := logging.NewProblems(logger)
 	for ctx.Err() == nil {
-		read, interval := due()
+		read, interval := policy()
 		var err error
 		if read {
-			err = m.pollOnce(ctx, known, emit)
+			err = m.pollOnce(ctx, problems, emit)
 		}
 		sleep.For(ctx, max(RetryAfter(err), jittered(random, interval)))
 	}
 }
 
-// pollOnce reads the list once and emits it, or logs the failure.
-func (m *Machines) pollOnce(ctx context.Context, known *logging.Problems, emit func([]Machine)) error {
+// pollOnce requests the list once and emits it, or logs the failure.
+func (m *Machines) pollOnce(ctx context.Context, problems *logging.Problems, emit func([]Machine)) error {
 	machines, err := m.Fetch(ctx)
 	switch {
 	case ctx.Err() != nil:
 	case err != nil:
-		known.Log("machines.failed", "", err, logging.Fields{"kind": fault.KindOf(err)})
+		problems.Log("machines.failed", "", err, logging.Fields{"kind": fault.KindOf(err)})
 	default:
-		known.Settled("machines.failed", "")
+		problems.Settled("machines.failed", "")
 		emit(machines)
 	}
 	return err
 }
 
-// jittered returns a wait between half and one and a half of the middle.
-func jittered(random *rand.Rand, middle time.Duration) time.Duration {
-	return middle/2 + time.Duration(random.Int64N(int64(middle)+1))
+// jittered returns a wait between 0.5 and 1.5 times mean, uniformly distributed.
+func jittered(random *rand.Rand, mean time.Duration) time.Duration {
+	return mean/2 + time.Duration(random.Int64N(int64(mean)+1))
 }
--- a/internal/source/reader.go
+++ b/internal/source/reader.go
@@ -14,55 +14,58 @@
 	"sliphead/internal/sleep"
 )
 
-// Result is what one read brought: a document with the secrets held so far, or
-// an error. A result with a secret that came later repeats the document.
+// Result is the outcome of one read: a document with the secrets fetched so far, or
+// an error. When a secret is fetched later, another Result repeats the document.
 type Result struct {
 	Document *declaration.Document
 	Revision uint64
-	Secrets  map[string]string // by name; those that could not be read are missing
+	Secrets  map[string]string // by name; without those that could not be fetched
 	Err      error
 }
 
-// Reader reads the source while the node has the duty to.
+// Reader polls the configuration service while the node has the duty to read it. The
+// exported fields must be set before Run.
 type Reader struct {
 	Configuration *Configuration
-	Parse         func([]byte) (*declaration.Document, error) // declaration.Parse
-	Emit          func(Result)                                // called from Run's goroutine; must not block long
-	LongPoll      time.Duration                               // 0 asks each Interval
-	Interval      time.Duration                               // between questions to a source that does not wait; default 1 s
-	SecretRetry   time.Duration                               // middle of the wait for a missing secret; default 2 s
-	BackoffBase   time.Duration                               // default 200 ms
-	BackoffMax    time.Duration                               // default 10 s
-	Logger        log.Interface
-	Random        *rand.Rand // jitter; used by Run's goroutine only
+	Parse         func([]byte) (*declaration.Document, error) // such as declaration.Parse
+	Emit          func(Result)                                // called from one goroutine at a time; must not block for long
+	LongPoll      time.Duration                               // wait of a long poll; 0: polls at each Interval
+	Interval      time.Duration                               // between requests when the service doesn't wait; default: 1 s
+	SecretRetry   time.Duration                               // mean wait before a missing secret is requested again; default: 2 s
+	BackoffBase   time.Duration                               // upper bound of the first backoff; default: 200 ms
+	BackoffMax    time.Duration                               // upper bound of every backoff; default: 10 s
+	Logger        log.Interface                               // default: discards
+	Random        *rand.Rand                                  // source of jitter; not used concurrently by the reader
 
-	failures int
-	problems *logging.Problems
-	etag     string
-	current  Result
-	sound    bool // whether the document given last is the current one
-	reads    atomic.Uint64
-	answered atomic.Pointer[time.Time]
+	failures      int // consecutive
+	problems      *logging.Problems
+	etag          string
+	current       Result
+	documentValid bool // whether the last document received was valid and is the current one
+	requests      atomic.Uint64
+	lastResponse  atomic.Pointer[time.Time] // time of the last valid response
 }
 
-// minInterval is the least time between two questions, whatever the source
-// answers.
+// minInterval is the minimum time between two requests, whatever the service
+// responds.
 const minInterval = 50 * time.Millisecond
 
-// Reads returns how many questions were asked of the source, secrets included.
-func (r *Reader) Reads() uint64 { return r.reads.Load() }
+// Reads returns the number of requests sent to the service, including those for
+// secrets. It is safe for concurrent use.
+func (r *Reader) Reads() uint64 { return r.requests.Load() }
 
-// LastRead returns when the source last answered as it should, also that there
-// is no news; zero before the first time.
+// LastRead returns the time of the last valid response for the document, including
+// 304. It is zero before the first one. It is safe for concurrent use.
 func (r *Reader) LastRead() time.Time {
-	if answered := r.answered.Load(); answered != nil {
-		return *answered
+	if responded := r.lastResponse.Load(); responded != nil {
+		return *responded
 	}
 	return time.Time{}
 }
 
-// Run reads whenever duty is on. duty delivers changes of the duty; its first
-// value is awaited. Run returns when ctx ends, after its last question ended.
+// Run polls the service while the node has the duty. The channel duty delivers
+// changes of the duty, which is off until the first value. Run returns when ctx ends,
+// after its last request has ended.
 func (r *Reader) Run(ctx context.Context, duty <-chan bool) {
 	r.setDefaults()
 	for on := false; ; {
@@ -75,14 +78,14 @@
 			continue
 		}
 		var ended bool
-		on, ended = r.serve(ctx, duty)
+		on, ended = r.readWhileOnDuty(ctx, duty)
 		if ended {
 			return
 		}
 	}
 }
 
-// setDefaults fills the optional fields.
+// setDefaults sets the defaults of optional fields.
 func (r *Reader) setDefaults() {
 	for field, value := range map[*time.Duration]time.Duration{
 		&r.Interval: time.Second, &r.SecretRetry: 2 * time.Second, &r.BackoffBase: 200 * time.Millisecond, &r.BackoffMax: 10 * time.Second,
@@ -97,15 +100,15 @@
 	r.problems = logging.NewProblems(r.Logger)
 }
 
-// serve reads until the duty changes or ctx ends. It starts without an ETag,
-// so that a node that takes the duty on again reads the document afresh.
-func (r *Reader) serve(ctx context.Context, duty <-chan bool) (on, ended bool) {
+// readWhileOnDuty polls until the duty ends or ctx ends. It starts without an ETag, so
+// that a node that takes over the duty again fetches the complete document.
+func (r *Reader) readWhileOnDuty(ctx context.Context, duty <-chan bool) (on, ended bool) {
 	dutyContext, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.read(dutyContext)
+		r.readLoop(dutyContext)
 	}()
 	defer func() { <-done }()
 	defer cancel()
@@ -121,68 +124,68 @@
 	}
 }
 
-// read asks again and again until ctx ends.
-func (r *Reader) read(ctx context.Context) {
-	r.etag, r.current, r.sound = "", Result{}, false
+// readLoop polls until ctx ends.
+func (r *Reader) readLoop(ctx context.Context) {
+	r.etag, r.current, r.documentValid = "", Result{}, false
 	for ctx.Err() == nil {
 		started := time.Now()
-		news, err := r.once(ctx)
+		updated, err := r.readOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		sleep.For(ctx, r.pause(news, err, time.Since(started)))
+		sleep.For(ctx, r.nextDelay(updated, err, time.Since(started)))
 	}
 }
 
-// pause returns the wait before the next question. After news the next may
-// come soon; a source that answers at once that there is none does not poll
-// long, and is asked at the interval.
-func (r *Reader) pause(news bool, err error, took time.Duration) time.Duration {
+// nextDelay records the result of a request and returns the wait before the next one.
+// After a new document the next may follow soon. A service that responds immediately
+// that nothing has changed doesn't support long polls and is polled at Interval.
+func (r *Reader) nextDelay(updated bool, err error, took time.Duration) time.Duration {
 	if err != nil {
-		r.report(err)
+		r.recordFailure(err)
 		return max(minInterval, r.backoff(err))
 	}
-	r.recovered(news)
-	if news {
+	r.recordSuccess(updated)
+	if updated {
 		return minInterval
 	}
 	return max(minInterval, r.Interval-took)
 }
 
-// once asks for the document, and while secrets are missing for these. It
-// reports whether the document was new.
-func (r *Reader) once(ctx context.Context) (news bool, err error) {
+// readOnce requests the document and the missing secrets. It reports whether the document
+// was new.
+func (r *Reader) readOnce(ctx context.Context) (updated bool, err error) {
 	wait := r.LongPoll
-	missing := r.missing()
+	missing := r.missingSecrets()
 	if len(missing) > 0 {
 		wait = min(wait, jittered(r.Random, r.SecretRetry))
 	}
 	if r.failures > 0 {
-		wait = 0 // whether it answers again is to be known at once
+		wait = 0 // no long poll, to detect a recovery without delay
 	}
-	r.reads.Add(1)
+	r.requests.Add(1)
 	document, err := r.Configuration.Fetch(ctx, r.etag, wait)
 	if err != nil {
 		return false, err
 	}
-	answered := time.Now()
-	r.answered.Store(&answered)
+	responded := time.Now()
+	r.lastResponse.Store(&responded)
 	if document != nil && (document.ETag == "" || document.ETag != r.etag) {
-		r.take(ctx, document)
+		r.acceptDocument(ctx, document)
 		return true, nil
 	}
-	if len(missing) > 0 && r.askSecrets(ctx, missing) {
+	if len(missing) > 0 && r.fetchSecrets(ctx, missing) {
 		r.Emit(r.copy())
 	}
 	return false, nil
 }
 
-// take parses a new document, asks for its secrets and emits both. A document
-// that is refused keeps its ETag, so that it is not read again and again.
-func (r *Reader) take(ctx context.Context, document *Document) {
+// acceptDocument parses a new document, fetches its secrets and emits both. The ETag of an
+// invalid document is stored too, so that the document is not fetched repeatedly.
+func (r *Reader) acceptDocument(ctx context.Context, document *Document) {
 	parsed, err := r.Parse(document.Raw)
 	r.etag = document.ETag
-	r.sound = err == nil
+	r.documentValid = err == nil
 	if err != nil {
 		r.problems.Log("source.documentRefused", "", err, logging.Fields{"revision": document.Revision})
 		r.Emit(Result{Revision: document.Revision, Err: err})
@@ -190,34 +193,34 @@
 	}
 	r.problems.Settled("source.documentRefused", "")
 	r.current = Result{Document: parsed, Revision: document.Revision, Secrets: make(map[string]string, len(parsed.Secrets))}
-	r.askSecrets(ctx, r.missing())
+	r.fetchSecrets(ctx, r.missingSecrets())
 	if ctx.Err() == nil {
 		r.Emit(r.copy())
 	}
 }
 
-// missing returns the names of the secrets declared and not held.
-func (r *Reader) missing() []string {
+// missingSecrets returns the names of the declared secrets that have not been fetched.
+func (r *Reader) missingSecrets() []string {
 	if r.current.Document == nil {
 		return nil
 	}
 	var names []string
 	for _, secret := range r.current.Document.Secrets {
-		if _, held := r.current.Secrets[secret.Name]; !held {
+		if _, found := r.current.Secrets[secret.Name]; !found {
 			names = append(names, secret.Name)
 		}
 	}
 	return names
 }
 
-// askSecrets asks for secrets and reports whether one came.
-func (r *Reader) askSecrets(ctx context.Context, names []string) bool {
-	came := false
+// fetchSecrets requests secrets and reports whether it received at least one.
+func (r *Reader) fetchSecrets(ctx context.Context, names []string) bool {
+	received := false
 	for _, name := range names {
-		r.reads.Add(1)
+		r.requests.Add(1)
 		value, err := r.Configuration.Secret(ctx, name)
 		if ctx.Err() != nil {
-			return came
+			return received
 		}
 		if err != nil {
 			r.problems.Log("source.secretMissing", name, err, logging.Fields{"secret": name})
@@ -225,12 +228,13 @@
 		}
 		r.problems.Settled("source.secretMissing", name)
 		r.current.Secrets[name] = value
-		came = true
+		received = true
 	}
-	return came
+	return received
 }
 
-// copy returns the current result with its own map, as the receiver keeps it.
+// copy returns the current result with a copy of the map, because the receiver
+// retains it.
 func (r *Reader) copy() Result {
 	result := r.current
 	result.Secrets = make(map[string]string, len(r.current.Secrets))
@@ -240,30 +244,30 @@
 	return result
 }
 
-// report logs a failure once per cause and emits it.
-func (r *Reader) report(err error) {
+// recordFailure counts a failure, logs it once per cause and emits it.
+func (r *Reader) recordFailure(err error) {
 	r.failures++
 	r.problems.Log("source.failed", "", err, logging.Fields{"kind": fault.KindOf(err)})
 	r.Emit(Result{Err: err})
 }
 
-// recovered ends a row of failures. Without news the document held is emitted
-// again, unless the source has given one since that was refused: the receiver
-// must not take the source as failing for ever.
-func (r *Reader) recovered(news bool) {
+// recordSuccess resets the failures after a valid response. If the document has not
+// changed, it is emitted again, so that the receiver does not regard the source as
+// failing for ever. It is not emitted if a later document was invalid.
+func (r *Reader) recordSuccess(updated bool) {
 	if r.failures == 0 {
 		return
 	}
 	logging.Event(r.Logger, "source.recovered", logging.Fields{"failures": r.failures})
 	r.failures = 0
 	r.problems.Settled("source.failed", "")
-	if !news && r.sound {
+	if !updated && r.documentValid {
 		r.Emit(r.copy())
 	}
 }
 
-// backoff returns the wait after a failure: full jitter over a bound that
-// grows exponentially, or beyond the time that the service asked for.
+// backoff returns the wait after a failure: the time that the service requested, if
+// any, plus full jitter over a bound that grows exponentially up to BackoffMax.
 func (r *Reader) backoff(err error) time.Duration {
 	bound := r.BackoffMax
 	if shift := r.failures - 1; shift < 16 {
--- a/internal/source/source_test.go
+++ b/internal/source/source_test.go
@@ -27,13 +27,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// trip is a round trip without sockets, for virtual time.
-type trip func(*http.Request) (*http.Response, error)
+// roundTripFunc is an http.RoundTripper without sockets, for tests in virtual time.
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f trip) RoundTrip(request *http.Request) (*http.Response, error) { return f(request) }
+func (f roundTripFunc) RoundTrip(request *http.Request) (*http.Response, error) { return f(request) }
 
-// reply returns an answer of the service.
-func reply(status int, body string, headers ...string) *http.Response {
+// newResponse returns a response with a JSON body. headers are pairs of name and value.
+func newResponse(status int, body string, headers ...string) *http.Response {
 	header := http.Header{"Content-Type": {"application/json"}}
 	for index := 0; index < len(headers); index += 2 {
 		header.Set(headers[index], headers[index+1])
@@ -41,7 +41,8 @@
 	return &http.Response{StatusCode: status, Header: header, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-func document(revision int, secrets string) string {
+// documentBody returns a response body with a document that declares secrets.
+func documentBody(revision int, secrets string) string {
 	return fmt.Sprintf(`{"revision":%d,"document":{"secrets":[%s]}}`, revision, secrets)
 }
 
@@ -59,7 +60,7 @@
 			must.Eq(t, "20", request.URL.Query().Get("wait"))
 			writer.WriteHeader(http.StatusNotModified)
 		default:
-			io.WriteString(writer, document(7, ""))
+			io.WriteString(writer, documentBody(7, ""))
 		}
 	}))
 	defer server.Close()
@@ -79,7 +80,7 @@
 	must.Eq(t, []Machine{{Name: "a", Peer: "127.0.0.1:7000", State: MachineLeaving}}, machines)
 }
 
-// endlessBody sends spaces, far more than the bound.
+// endlessBody is a body of spaces that is eight times as long as the maximum.
 type endlessBody struct{ read int }
 
 func (e *endlessBody) Read(buffer []byte) (int, error) {
@@ -90,51 +91,51 @@
 	return len(buffer), nil
 }
 
-func TestWrongAnswersAreRefused(t *testing.T) {
-	for name, answer := range map[string]*http.Response{
-		"status 500":     reply(500, document(1, "")),
-		"status 204":     reply(204, ""),
-		"redirect":       reply(302, document(1, ""), "Location", "http://127.0.0.1:1/"),
-		"HTML":           reply(200, "<html>down</html>", "Content-Type", "text/html"),
-		"HTML as JSON":   reply(200, "<html>down</html>"),
-		"no type":        reply(200, document(1, ""), "Content-Type", ""),
-		"half":           reply(200, `{"revision":1,"document":{"secrets":[`),
-		"no revision":    reply(200, `{"document":{}}`),
-		"below zero":     reply(200, `{"revision":-1,"document":{}}`),
-		"no document":    reply(200, `{"revision":1}`),
-		"null document":  reply(200, `{"revision":1,"document":null}`),
-		"list":           reply(200, `[]`),
-		"too long":       reply(200, `{"revision":1,"document":{"a":"`+strings.Repeat("a", maxBodyBytes)+`"}}`),
-		"304 for no tag": reply(304, ""),
+func TestInvalidResponsesAreRejected(t *testing.T) {
+	for name, response := range map[string]*http.Response{
+		"status 500":        newResponse(500, documentBody(1, "")),
+		"status 204":        newResponse(204, ""),
+		"redirect":          newResponse(302, documentBody(1, ""), "Location", "http://127.0.0.1:1/"),
+		"HTML":              newResponse(200, "<html>down</html>", "Content-Type", "text/html"),
+		"HTML as JSON":      newResponse(200, "<html>down</html>"),
+		"no type":           newResponse(200, documentBody(1, ""), "Content-Type", ""),
+		"truncated":         newResponse(200, `{"revision":1,"document":{"secrets":[`),
+		"no revision":       newResponse(200, `{"document":{}}`),
+		"negative revision": newResponse(200, `{"revision":-1,"document":{}}`),
+		"no document":       newResponse(200, `{"revision":1}`),
+		"null document":     newResponse(200, `{"revision":1,"document":null}`),
+		"list":              newResponse(200, `[]`),
+		"too long":          newResponse(200, `{"revision":1,"document":{"a":"`+strings.Repeat("a", maxBodyBytes)+`"}}`),
+		"304 for no tag":    newResponse(304, ""),
 	} {
-		client := &http.Client{Transport: trip(func(*http.Request) (*http.Response, error) { return answer, nil })}
+		client := &http.Client{Transport: roundTripFunc(func(*http.Request) (*http.Response, error) { return response, nil })}
 		_, err := (&Configuration{Base: "http://source", Client: client}).Fetch(t.Context(), "", 0)
 		must.Eq(t, fault.Source, fault.KindOf(err), must.Sprint(name))
 	}
 	endless := &endlessBody{}
-	client := &http.Client{Transport: trip(func(*http.Request) (*http.Response, error) {
-		answer := reply(200, "")
-		answer.Body = io.NopCloser(endless)
-		return answer, nil
+	client := &http.Client{Transport: roundTripFunc(func(*http.Request) (*http.Response, error) {
+		response := newResponse(200, "")
+		response.Body = io.NopCloser(endless)
+		return response, nil
 	})}
 	_, err := (&Configuration{Base: "http://source", Client: client}).Fetch(t.Context(), "", 0)
 	must.Eq(t, fault.Source, fault.KindOf(err))
 	must.LessEq(t, 2*maxBodyBytes, endless.read)
-	broken := &http.Client{Transport: trip(func(*http.Request) (*http.Response, error) { return nil, errors.New("refused") })}
+	broken := &http.Client{Transport: roundTripFunc(func(*http.Request) (*http.Response, error) { return nil, errors.New("refused") })}
 	_, err = (&Machines{Base: "http://source", Client: broken}).Fetch(t.Context())
 	must.Eq(t, fault.Source, fault.KindOf(err))
 }
 
-func TestRetryAfterIsReadAndBounded(t *testing.T) {
+func TestRetryAfterIsParsedAndBounded(t *testing.T) {
 	for value, want := range map[string]time.Duration{
 		"7": 7 * time.Second, "999999999999": maxRetryAfter, "-1": 0, "soon": 0, "Thu, 01 Jan 1970 00:00:00 GMT": 0,
 	} {
-		must.Eq(t, want, RetryAfter(statusError("/", reply(429, "", "Retry-After", value))))
+		must.Eq(t, want, RetryAfter(statusError("/", newResponse(429, "", "Retry-After", value))))
 	}
 }
 
-// bench runs a reader in virtual time against a scripted service.
-type bench struct {
+// readerBench runs a reader in virtual time against a simulated service.
+type readerBench struct {
 	reader  *Reader
 	results []Result
 	log     bytes.Buffer
@@ -142,11 +143,11 @@
 	stop    func()
 }
 
-func startReader(t *testing.T, answer trip) *bench {
+func startReader(t *testing.T, respond roundTripFunc) *readerBench {
 	t.Helper()
-	b := &bench{duty: make(chan bool)}
+	b := &readerBench{duty: make(chan bool)}
 	b.reader = &Reader{
-		Configuration: &Configuration{Base: "http://source", Client: &http.Client{Transport: answer}},
+		Configuration: &Configuration{Base: "http://source", Client: &http.Client{Transport: respond}},
 		Parse: func(raw []byte) (*declaration.Document, error) {
 			parsed := &declaration.Document{}
 			if err := json.Unmarshal(raw, parsed); err != nil {
@@ -172,39 +173,40 @@
 	return b
 }
 
-// await answers not modified once the poll's wait is over.
-func await(request *http.Request) (*http.Response, error) {
+// longPollUnchanged simulates a long poll without changes: it responds 304 after the request's
+// wait.
+func longPollUnchanged(request *http.Request) (*http.Response, error) {
 	wait, _ := time.ParseDuration(request.URL.Query().Get("wait") + "s")
 	select {
 	case <-time.After(wait):
-		return reply(304, ""), nil
+		return newResponse(304, ""), nil
 	case <-request.Context().Done():
 		return nil, request.Context().Err()
 	}
 }
 
-// pass lets virtual time go by and what it brings happen.
-func pass(duration time.Duration) {
+// advance advances virtual time and waits until all goroutines are blocked.
+func advance(duration time.Duration) {
 	time.Sleep(duration)
 	synctest.Wait()
 }
 
-func TestReaderAsksOnlyOnDuty(t *testing.T) {
+func TestReaderSendsRequestsOnlyOnDuty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := startReader(t, func(request *http.Request) (*http.Response, error) {
 			if request.Header.Get("If-None-Match") == "" {
-				return reply(200, document(1, ""), "ETag", "1"), nil
+				return newResponse(200, documentBody(1, ""), "ETag", "1"), nil
 			}
-			return await(request)
+			return longPollUnchanged(request)
 		})
-		pass(time.Hour)
+		advance(time.Hour)
 		must.Eq(t, 0, b.reader.Reads())
 		b.duty <- true
-		pass(time.Minute)
+		advance(time.Minute)
 		must.SliceLen(t, 1, b.results)
 		must.Eq(t, 4, b.reader.Reads())
 		b.duty <- false
-		pass(time.Hour)
+		advance(time.Hour)
 		must.Eq(t, 4, b.reader.Reads())
 		b.duty <- true
 		b.duty <- true
@@ -221,23 +223,23 @@
 		status.Store(500)
 		b := startReader(t, func(request *http.Request) (*http.Response, error) {
 			if status.Load() == 200 {
-				return reply(200, document(3, ""), "ETag", "3"), nil
+				return newResponse(200, documentBody(3, ""), "ETag", "3"), nil
 			}
-			return reply(int(status.Load()), "", "Retry-After", map[int64]string{429: "60"}[status.Load()]), nil
+			return newResponse(int(status.Load()), "", "Retry-After", map[int64]string{429: "60"}[status.Load()]), nil
 		})
 		b.duty <- true
-		pass(10 * time.Minute)
+		advance(10 * time.Minute)
 		must.Between(t, 60, b.reader.Reads(), 300)
 		must.Eq(t, 1, strings.Count(b.log.String(), "event=source.failed"))
 		status.Store(429)
-		pass(10 * time.Second)
+		advance(10 * time.Second)
 		before := b.reader.Reads()
-		pass(time.Hour)
+		advance(time.Hour)
 		must.Between(t, 50, b.reader.Reads()-before, 60)
 		must.Eq(t, 2, strings.Count(b.log.String(), "event=source.failed"))
 		must.True(t, b.reader.LastRead().IsZero())
 		status.Store(200)
-		pass(2 * time.Minute)
+		advance(2 * time.Minute)
 		must.Less(t, time.Minute, time.Since(b.reader.LastRead()))
 		must.Eq(t, 1, strings.Count(b.log.String(), "event=source.recovered"))
 		must.Eq(t, 3, b.results[len(b.results)-1].Revision)
@@ -245,95 +247,95 @@
 	})
 }
 
-func TestRefusedDocumentIsToldOnceAndTheNextServes(t *testing.T) {
+func TestInvalidDocumentIsReportedOnceAndNextIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var good atomic.Bool
 		b := startReader(t, func(request *http.Request) (*http.Response, error) {
 			switch {
 			case good.Load() && request.Header.Get("If-None-Match") == "4":
-				return reply(200, document(5, ""), "ETag", "5"), nil
+				return newResponse(200, documentBody(5, ""), "ETag", "5"), nil
 			case request.Header.Get("If-None-Match") == "":
-				return reply(200, `{"revision":4,"document":{"secrets":7}}`, "ETag", "4"), nil
+				return newResponse(200, `{"revision":4,"document":{"secrets":7}}`, "ETag", "4"), nil
 			}
-			return await(request)
+			return longPollUnchanged(request)
 		})
 		b.duty <- true
-		pass(time.Hour)
+		advance(time.Hour)
 		must.SliceLen(t, 1, b.results)
 		must.Eq(t, fault.Declaration, fault.KindOf(b.results[0].Err))
 		must.Eq(t, 4, b.results[0].Revision)
 		must.Eq(t, 1, strings.Count(b.log.String(), "\n"))
 		good.Store(true)
-		pass(time.Minute)
+		advance(time.Minute)
 		must.SliceLen(t, 2, b.results)
 		must.Eq(t, 5, b.results[1].Revision)
 		b.stop()
 	})
 }
 
-func TestMissingSecretIsAskedAgain(t *testing.T) {
+func TestMissingSecretIsRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ready atomic.Bool
-		var asked atomic.Int64
+		var requests atomic.Int64
 		b := startReader(t, func(request *http.Request) (*http.Response, error) {
 			switch request.URL.Path {
 			case "/v1/secrets/till":
-				return reply(200, `{"value":"t"}`), nil
+				return newResponse(200, `{"value":"t"}`), nil
 			case "/v1/secrets/press":
-				asked.Add(1)
+				requests.Add(1)
 				if ready.Load() {
-					return reply(200, `{"value":"p"}`), nil
+					return newResponse(200, `{"value":"p"}`), nil
 				}
-				return reply(404, ""), nil
+				return newResponse(404, ""), nil
 			}
 			if request.Header.Get("If-None-Match") == "" {
-				return reply(200, document(6, `{"name":"till"},{"name":"press"}`), "ETag", "6"), nil
+				return newResponse(200, documentBody(6, `{"name":"till"},{"name":"press"}`), "ETag", "6"), nil
 			}
-			return await(request)
+			return longPollUnchanged(request)
 		})
 		b.duty <- true
-		pass(time.Minute)
+		advance(time.Minute)
 		must.Eq(t, map[string]string{"till": "t"}, b.results[0].Secrets)
 		must.SliceLen(t, 1, b.results)
-		must.Between(t, 15, asked.Load(), 60)
+		must.Between(t, 15, requests.Load(), 60)
 		must.Eq(t, 1, strings.Count(b.log.String(), "event=source.secretMissing"))
 		ready.Store(true)
-		pass(10 * time.Second)
+		advance(10 * time.Second)
 		must.SliceLen(t, 2, b.results)
 		must.Eq(t, map[string]string{"till": "t", "press": "p"}, b.results[1].Secrets)
-		before := asked.Load()
-		pass(time.Hour)
-		must.Eq(t, before, asked.Load())
+		before := requests.Load()
+		advance(time.Hour)
+		must.Eq(t, before, requests.Load())
 		b.stop()
 	})
 }
 
-func TestMachinesArePolledApartAndFailuresKeepTheLastList(t *testing.T) {
+func TestMachineListPollsAreJitteredAndFailuresKeepLastList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var down, off atomic.Bool
-		asked, lists := 0, 0
-		machines := &Machines{Base: "http://list", Client: &http.Client{Transport: trip(func(*http.Request) (*http.Response, error) {
-			asked++
+		requests, lists := 0, 0
+		machines := &Machines{Base: "http://list", Client: &http.Client{Transport: roundTripFunc(func(*http.Request) (*http.Response, error) {
+			requests++
 			if down.Load() {
-				return reply(503, ""), nil
+				return newResponse(503, ""), nil
 			}
-			return reply(200, `{"machines":[]}`), nil
+			return newResponse(200, `{"machines":[]}`), nil
 		})}}
 		var events bytes.Buffer
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Hour)
 		defer cancel()
 		time.AfterFunc(30*time.Minute, func() { down.Store(true) })
 		time.AfterFunc(time.Hour, func() { off.Store(true) })
-		due := func() (bool, time.Duration) { return !off.Load(), 10 * time.Second }
-		machines.Poll(ctx, due, rand.New(rand.NewPCG(1, 1)), logging.New(&events, log.InfoLevel), func([]Machine) { lists++ })
-		must.Between(t, 320, asked, 400)
+		policy := func() (bool, time.Duration) { return !off.Load(), 10 * time.Second }
+		machines.Poll(ctx, policy, rand.New(rand.NewPCG(1, 1)), logging.New(&events, log.InfoLevel), func([]Machine) { lists++ })
+		must.Between(t, 320, requests, 400)
 		must.Between(t, 160, lists, 200)
 		must.Eq(t, 1, strings.Count(events.String(), "event=machines.failed"))
 	})
 }
 
-func FuzzAnswers(f *testing.F) {
-	for _, seed := range []string{document(1, ""), `{"machines":[{"name":"a","peer":"127.0.0.1:1","state":"live"}]}`, `{"value":"x"}`, `{"revision":1e99}`, `[`, `null`} {
+func FuzzDecodeResponses(f *testing.F) {
+	for _, seed := range []string{documentBody(1, ""), `{"machines":[{"name":"a","peer":"127.0.0.1:1","state":"live"}]}`, `{"value":"x"}`, `{"revision":1e99}`, `[`, `null`} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -344,16 +346,17 @@
 		}
 		if machines, err := decodeMachines(text); err == nil {
 			for _, machine := range machines {
-				must.True(t, machine.sound())
+				must.True(t, machine.valid())
 			}
 		}
 		decodeSecret(text)
 	})
 }
 
-// A source that answers again without news ends what was told of its failure,
-// and a failure that lasts is one line whatever the wait that was asked for.
-func TestRecoveryWithoutNewsIsTold(t *testing.T) {
+// When the service recovers and its document has not changed, the reader must emit a
+// result without error, or the receiver would regard the source as failing for ever.
+// A lasting failure must be logged once, although the wait in the URL varies.
+func TestRecoveryWithUnchangedDocumentIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var down atomic.Bool
 		b := startReader(t, func(request *http.Request) (*http.Response, error) {
@@ -361,19 +364,19 @@
 			case down.Load():
 				return nil, errors.New("connection refused")
 			case request.Header.Get("If-None-Match") == "":
-				return reply(200, document(1, ""), "ETag", "1"), nil
+				return newResponse(200, documentBody(1, ""), "ETag", "1"), nil
 			}
-			return await(request)
+			return longPollUnchanged(request)
 		})
 		b.duty <- true
-		pass(time.Minute)
+		advance(time.Minute)
 		must.SliceLen(t, 1, b.results)
 		down.Store(true)
-		pass(10 * time.Minute)
+		advance(10 * time.Minute)
 		must.Eq(t, 1, strings.Count(b.log.String(), "event=source.failed"))
 		must.Error(t, b.results[len(b.results)-1].Err)
 		down.Store(false)
-		pass(11 * time.Second) // the longest backoff, and no long poll
+		advance(11 * time.Second) // more than the maximum backoff; a reader that used a long poll here would take longer
 		must.NoError(t, b.results[len(b.results)-1].Err)
 		must.Eq(t, 1, b.results[len(b.results)-1].Revision)
 		b.stop()
