--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves operators over HTTP: whether the node lives and is
-// ready, its metrics, its status and the request to drain.
+// Package admin implements a node's HTTP interface for operators: liveness,
+// readiness, metrics, status, drain and release of quarantined requests.
 package admin
 
 import (
@@ -13,26 +13,26 @@
 	"sliphead/internal/logging"
 )
 
-// Config says what the handler answers with. All functions are called from
+// Config holds the functions behind the handler. They are called concurrently from
 // request goroutines.
 type Config struct {
-	Ready    func() (ready bool, reason string)                 // the reason is told when not ready
-	Status   func() any                                         // encoded as JSON
-	Drain    func()                                             // starts a drain and returns at once
-	Release  func(fingerprint string) (state string, err error) // has a held request sent to workers again and tells what it was; nil: this node holds none
+	Ready    func() (ready bool, reason string)                 // the reason is served when ready is false
+	Status   func() any                                         // the result is encoded as JSON
+	Drain    func()                                             // starts a drain and returns immediately
+	Release  func(fingerprint string) (state string, err error) // releases a request from quarantine and returns its previous state; nil: the node quarantines no requests
 	Registry *prometheus.Registry
-	Logger   log.Interface // default discards
+	Logger   log.Interface // default: discards
 }
 
-// Handler answers /live, /ready, /metrics, /status, POST /drain and, where the node holds
-// requests in quarantine, POST /quarantine/release.
+// Handler returns a handler for /live, /ready, /metrics, /status, POST /drain and, if
+// Release is set, POST /quarantine/release.
 func Handler(config Config) http.Handler {
 	if config.Logger == nil {
 		config.Logger = logging.Discard()
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", func(writer http.ResponseWriter, _ *http.Request) {
-		writeJSON(writer, http.StatusOK, condition{OK: true})
+		writeJSON(writer, http.StatusOK, responseBody{OK: true})
 	})
 	mux.HandleFunc("GET /ready", config.ready)
 	mux.HandleFunc("GET /status", config.status)
@@ -44,47 +44,48 @@
 	return mux
 }
 
-// condition is the answer of /live, /ready, /drain and /quarantine/release.
-type condition struct {
+// responseBody is the response body of /live, /ready, /drain and /quarantine/release.
+type responseBody struct {
 	OK     bool   `json:"ok"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// ready answers 200 or 503 with the reason.
+// ready responds 200, or 503 with the reason.
 func (c Config) ready(writer http.ResponseWriter, _ *http.Request) {
 	ready, reason := c.Ready()
 	if ready {
-		writeJSON(writer, http.StatusOK, condition{OK: true})
+		writeJSON(writer, http.StatusOK, responseBody{OK: true})
 		return
 	}
-	writeJSON(writer, http.StatusServiceUnavailable, condition{Reason: reason})
+	writeJSON(writer, http.StatusServiceUnavailable, responseBody{Reason: reason})
 }
 
-// status answers the status as JSON.
+// status responds with the status as JSON.
 func (c Config) status(writer http.ResponseWriter, _ *http.Request) {
 	writeJSON(writer, http.StatusOK, c.Status())
 }
 
-// drain starts a drain.
+// drain starts a drain and responds 202.
 func (c Config) drain(writer http.ResponseWriter, request *http.Request) {
 	logging.Event(c.Logger, "admin.drain", logging.Fields{"remote": request.RemoteAddr})
 	c.Drain()
-	writeJSON(writer, http.StatusAccepted, condition{OK: true, Reason: "draining"})
+	writeJSON(writer, http.StatusAccepted, responseBody{OK: true, Reason: "draining"})
 }
 
-// release lets go of the request that the query's fingerprint names.
+// release releases the request with the query's fingerprint from quarantine. It
+// responds 400 if that fails.
 func (c Config) release(writer http.ResponseWriter, request *http.Request) {
 	fingerprint := request.URL.Query().Get("fingerprint")
 	logging.Event(c.Logger, "admin.release", logging.Fields{"remote": request.RemoteAddr, "fingerprint": fingerprint})
 	state, err := c.Release(fingerprint)
 	if err != nil {
-		writeJSON(writer, http.StatusBadRequest, condition{Reason: err.Error()})
+		writeJSON(writer, http.StatusBadRequest, responseBody{Reason: err.Error()})
 		return
 	}
-	writeJSON(writer, http.StatusOK, condition{OK: true, Reason: state})
+	writeJSON(writer, http.StatusOK, responseBody{OK: true, Reason: state})
 }
 
-// writeJSON answers with a value.
+// writeJSON responds with a value as indented JSON, or 500 if it cannot be encoded.
 func writeJSON(writer http.ResponseWriter, status int, value any) {
 	body, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestHandler(t *testing.T) {
+func TestHandlerServesEachPath(t *testing.T) {
 	reason := ""
 	drains := 0
 	registry := prometheus.NewRegistry()
@@ -21,10 +21,10 @@
 		Drain:    func() { drains++ },
 		Registry: registry,
 	})
-	ask := func(method, path string) (int, string) {
-		answer := httptest.NewRecorder()
-		handler.ServeHTTP(answer, httptest.NewRequest(method, path, nil))
-		return answer.Code, answer.Body.String()
+	send := func(method, path string) (int, string) {
+		response := httptest.NewRecorder()
+		handler.ServeHTTP(response, httptest.NewRequest(method, path, nil))
+		return response.Code, response.Body.String()
 	}
 	for _, step := range []struct {
 		method, path, reason string
@@ -41,19 +41,19 @@
 		{"GET", "/other", "", http.StatusNotFound, ""},
 	} {
 		reason = step.reason
-		status, body := ask(step.method, step.path)
+		status, body := send(step.method, step.path)
 		must.Eq(t, step.status, status, must.Sprint(step))
 		must.StrContains(t, body, step.body)
 	}
 	must.Eq(t, 0, drains)
-	status, _ := ask("POST", "/drain")
+	status, _ := send("POST", "/drain")
 	must.Eq(t, http.StatusAccepted, status)
 	must.Eq(t, 1, drains)
 }
 
-func TestStatusThatCannotBeEncoded(t *testing.T) {
-	answer := httptest.NewRecorder()
+func TestStatusThatCannotBeEncodedGivesStatus500(t *testing.T) {
+	response := httptest.NewRecorder()
 	handler := Handler(Config{Status: func() any { return func() {} }, Registry: prometheus.NewRegistry()})
-	handler.ServeHTTP(answer, httptest.NewRequest("GET", "/status", nil))
-	must.Eq(t, http.StatusInternalServerError, answer.Code)
+	handler.ServeHTTP(response, httptest.NewRequest("GET", "/status", nil))
+	must.Eq(t, http.StatusInternalServerError, response.Code)
 }
