--- a/internal/command/check/check.go
+++ b/internal/command/check/check.go
@@ -1,4 +1,4 @@
-// Package check tells operators what is wrong with a directory of declarations.
+// Package check implements the command that validates a directory of declarations.
 package check
 
 import (
@@ -11,13 +11,13 @@
 	"sliphead/internal/fault"
 )
 
-// Command is the grammar of "check DIR".
+// Command defines the arguments of "check DIR".
 type Command struct {
 	Directory string `arg:"" name:"dir" help:"Directory of declarations (*.yaml)." type:"existingdir"`
 }
 
-// Run prints each finding on a line, "file:line: what (remedy: …)", or that
-// there are none. It returns an error when there are findings.
+// Run prints each finding on a line, "file:line: what (remedy: …)", or a summary of
+// the declarations if there are none. It returns an error when there are findings.
 func (c *Command) Run(output io.Writer) error {
 	document, findings, err := declaration.Load(os.DirFS(c.Directory))
 	if err != nil {
@@ -30,9 +30,9 @@
 		fmt.Fprintln(output, finding)
 	}
 	if len(findings) > 0 {
-		return fault.New(fault.Declaration, "mend each finding and check again", "findings in %s: %d", c.Directory, len(findings))
+		return fault.New(fault.Declaration, "fix each finding and check again", "findings in %s: %d", c.Directory, len(findings))
 	}
-	fmt.Fprintf(output, "%s: sound: %d zones, %d services, %d workers, %d selectors, %d routes, %d secrets\n", c.Directory,
+	fmt.Fprintf(output, "%s: valid: %d zones, %d services, %d workers, %d selectors, %d routes, %d secrets\n", c.Directory,
 		len(document.Zones), len(document.Services), len(document.Workers),
 		len(document.Selectors), len(document.Routes), len(document.Secrets))
 	return nil
--- a/internal/command/check/check_test.go
+++ b/internal/command/check/check_test.go
@@ -9,10 +9,10 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestSoundDeclarations(t *testing.T) {
+func TestValidDeclarationsPrintSummary(t *testing.T) {
 	var output strings.Builder
 	must.NoError(t, (&Command{Directory: "../../../experiments/declarations/chandrika"}).Run(&output))
-	must.StrContains(t, output.String(), "sound: 4 zones, 2 services, 12 workers, 6 selectors, 5 routes, 2 secrets\n")
+	must.StrContains(t, output.String(), "valid: 4 zones, 2 services, 12 workers, 6 selectors, 5 routes, 2 secrets\n")
 }
 
 func TestFindingsArePrintedAndFail(t *testing.T) {
@@ -22,5 +22,5 @@
 	var output strings.Builder
 	err := (&Command{Directory: directory}).Run(&output)
 	must.Eq(t, path+`:4: zone "b": timeZone "IST" is not valid (remedy: use an IANA name such as Asia/Kolkata)`+"\n", output.String())
-	must.ErrorContains(t, err, "remedy: mend each finding")
+	must.ErrorContains(t, err, "remedy: fix each finding")
 }
--- a/internal/command/explain/explain.go
+++ b/internal/command/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain tells operators why a route reaches a worker or does not.
+// Package explain implements the command that shows why a route selects a worker or
+// does not.
 package explain
 
 import (
@@ -14,7 +15,7 @@
 	"sliphead/internal/fault"
 )
 
-// Command is the grammar of "explain --declarations DIR --route R --at TIME".
+// Command defines the flags of "explain --declarations DIR --route R --at TIME".
 type Command struct {
 	Declarations string    `required:"" help:"Directory of declarations (*.yaml)." type:"existingdir"`
 	Route        string    `required:"" help:"Name of the route."`
@@ -22,8 +23,8 @@
 	Zone         string    `help:"Show only the workers of this zone."`
 }
 
-// Run prints each worker of the route's service, whether it is selected, and
-// the reasons of each selector that does not select it.
+// Run prints for each worker of the route's service whether it is selected, and for
+// each selector that does not select it the reasons.
 func (c *Command) Run(output io.Writer) error {
 	document, err := declaration.LoadValid(os.DirFS(c.Declarations))
 	if err != nil {
@@ -40,13 +41,13 @@
 	fmt.Fprintf(output, "route %s of service %s at %s\n", route.Name, route.Service, at.Format(time.RFC3339))
 	for _, selection := range declaration.NewEvaluator(document).Explain(route, at) {
 		if c.Zone == "" || c.Zone == selection.Worker.Zone {
-			write(output, selection)
+			writeSelection(output, selection)
 		}
 	}
 	return nil
 }
 
-func write(output io.Writer, selection declaration.WorkerSelection) {
+func writeSelection(output io.Writer, selection declaration.WorkerSelection) {
 	state := "not selected"
 	if selection.Selected {
 		state = "selected"
@@ -64,7 +65,7 @@
 func findRoute(document *declaration.Document, name string) (declaration.Route, error) {
 	index := slices.IndexFunc(document.Routes, func(route declaration.Route) bool { return route.Name == name })
 	if index < 0 {
-		return declaration.Route{}, fault.New(fault.Declaration, "name a route under routes", "no route %q is declared", name)
+		return declaration.Route{}, fault.New(fault.Declaration, "give the name of a route under routes", "no route %q is declared", name)
 	}
 	return document.Routes[index], nil
 }
@@ -74,5 +75,5 @@
 	if name == "" || declared {
 		return nil
 	}
-	return fault.New(fault.Declaration, "name a zone under zones", "no zone %q is declared", name)
+	return fault.New(fault.Declaration, "give the name of a zone under zones", "no zone %q is declared", name)
 }
--- a/internal/command/explain/explain_test.go
+++ b/internal/command/explain/explain_test.go
@@ -11,7 +11,7 @@
 
 const mesh = "../../../experiments/declarations/tan-seng-huat"
 
-func TestExplainGivesTheReasons(t *testing.T) {
+func TestExplainPrintsReasons(t *testing.T) {
 	var command Command
 	parser, err := kong.New(&command)
 	must.NoError(t, err)
@@ -33,10 +33,10 @@
 `, output.String())
 }
 
-func TestUnknownNamesAreRefused(t *testing.T) {
+func TestUnknownRouteOrZoneFails(t *testing.T) {
 	cases := map[string]Command{
-		`no route "reviews" is declared (remedy: name a route under routes)`: {Declarations: mesh, Route: "reviews", At: time.Unix(0, 0)},
-		`no zone "kochi" is declared (remedy: name a zone under zones)`:      {Declarations: mesh, Route: "view", Zone: "kochi", At: time.Unix(0, 0)},
+		`no route "reviews" is declared (remedy: give the name of a route under routes)`: {Declarations: mesh, Route: "reviews", At: time.Unix(0, 0)},
+		`no zone "kochi" is declared (remedy: give the name of a zone under zones)`:      {Declarations: mesh, Route: "view", Zone: "kochi", At: time.Unix(0, 0)},
 	}
 	for want, command := range cases {
 		must.ErrorContains(t, command.Run(&strings.Builder{}), want)
--- a/internal/command/logfile/logfile.go
+++ b/internal/command/logfile/logfile.go
@@ -1,4 +1,4 @@
-// Package logfile reads the logs of nodes for commands: one event a line, as key=value
+// Package logfile reads log files of nodes, which have one event per line in key=value
 // pairs.
 package logfile
 
@@ -11,21 +11,21 @@
 	"sliphead/internal/fault"
 )
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line in bytes.
+const maxLineBytes = 1 << 20
 
-// Each calls do with each line of the files, one file after the other, and with the
-// file's name; without files, with the lines of standard input and an empty name.
+// Each calls do with the file's name and the text of each line of the files, in order.
+// Without files it reads standard input and passes an empty name.
 func Each(files []string, do func(file, line string)) error {
 	if len(files) == 0 {
-		return lines("", os.Stdin, do)
+		return scanLines("", os.Stdin, do)
 	}
 	for _, name := range files {
 		file, err := os.Open(name)
 		if err != nil {
-			return fault.Wrap(err, fault.Settings, "name readable logs", "read %s", name)
+			return fault.Wrap(err, fault.Settings, "give readable log files", "read %s", name)
 		}
-		err = lines(name, file, do)
+		err = scanLines(name, file, do)
 		_ = file.Close() // it was only read
 		if err != nil {
 			return err
@@ -34,16 +34,17 @@
 	return nil
 }
 
-func lines(name string, log io.Reader, do func(file, line string)) error {
+func scanLines(name string, log io.Reader, do func(file, line string)) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		do(name, scanner.Text())
 	}
-	return fault.Wrap(scanner.Err(), fault.Settings, "name logs with lines of at most 1 MiB", "read %s", name)
+	return fault.Wrap(scanner.Err(), fault.Settings, "give logs with lines of at most 1 MiB", "read %s", name)
 }
 
-// Field returns the value of key=value within a line, "" if there is none.
+// Field returns the value of the first key=value pair with the given key in a line, ""
+// if there is none.
 func Field(line, key string) string {
 	for word := range strings.FieldsSeq(line) {
 		if name, value, found := strings.Cut(word, "="); found && name == key {
--- a/internal/command/node/node.go
+++ b/internal/command/node/node.go
@@ -1,4 +1,4 @@
-// Package node holds the command that runs one process of the system.
+// Package node implements the command that runs a node.
 package node
 
 import (
@@ -20,13 +20,13 @@
 	"sliphead/internal/settings"
 )
 
-// Command runs a node until it is told to stop. The first SIGTERM or SIGINT
-// begins a planned stop, the second ends the process at once. SIGHUP reads the
-// settings again.
+// Command runs a node until it receives a signal to stop. The first SIGTERM or SIGINT
+// starts a planned stop, the second stops the node immediately. SIGHUP checks the
+// settings file.
 type Command struct {
 	Settings      string `required:"" type:"path" env:"${settings_variable}" help:"The settings file (YAML)."`
 	PrintSettings bool   `help:"Print the settings in force, with defaults, and exit."`
-	LogLevel      string `default:"info" enum:"debug,info,warn,error" help:"The least level that is logged."`
+	LogLevel      string `default:"info" enum:"debug,info,warn,error" help:"The lowest level that is logged."`
 
 	Name     string `help:"Override the node's name."`
 	Zone     string `help:"Override the zone."`
@@ -37,17 +37,17 @@
 	Admin    string `help:"Override listen.admin (IP:port)."`
 }
 
-// flushTime is how long the last lines of the log may take to be written.
-const flushTime = 200 * time.Millisecond
+// flushTimeout is the timeout for writing the last log lines at the end of the process.
+const flushTimeout = 200 * time.Millisecond
 
-// process is a running node, of either kind.
+// process is a node of either kind.
 type process interface {
 	Run(ctx context.Context) error
 	Stop()
 	InFlight() int
 }
 
-// Run implements the command.
+// Run runs the node until it stops. With PrintSettings it only prints the settings.
 func (c *Command) Run(output io.Writer, adapter systemnode.Adapter) error {
 	configured, err := settings.Load(c.Settings, c.override)
 	if err != nil {
@@ -56,11 +56,11 @@
 	if c.PrintSettings {
 		return configured.Print(output)
 	}
-	boundHeap()
+	setGCPercent()
 	queue := logging.NewQueue(os.Stdout)
-	defer queue.Flush(flushTime)
+	defer queue.Flush(flushTimeout)
 	logger := &log.Logger{Handler: queue, Level: log.MustParseLevel(c.LogLevel)}
-	running, err := assemble(configured, adapter, logger, queue.Dropped)
+	running, err := newProcess(configured, adapter, logger, queue.Dropped)
 	if err != nil {
 		return err
 	}
@@ -71,21 +71,21 @@
 	return running.Run(ctx)
 }
 
-// heapGrowth is by how many parts in a hundred the heap may outgrow what is in use
-// before it is collected. A node holds little, so that the runtime's own 100 buys
-// few collections for much memory: docs/design/decisions-under-load.md.
-const heapGrowth = 50
+// gcPercent is the percentage by which the heap may grow beyond the live heap before
+// a garbage collection. A node's live heap is small, so that the runtime's default of
+// 100 saves few collections and costs much memory: docs/design/decisions-under-load.md.
+const gcPercent = 50
 
-// boundHeap applies heapGrowth, unless the operator has set GOGC.
-func boundHeap() {
+// setGCPercent applies gcPercent, unless the operator has set GOGC.
+func setGCPercent() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(heapGrowth)
+		debug.SetGCPercent(gcPercent)
 	}
 }
 
-// assemble makes the kind of node that the settings ask for: one that a store
-// serves, or one with declarations and peers of its own.
-func assemble(configured *settings.Settings, adapter systemnode.Adapter, logger log.Interface, dropped func() uint64) (process, error) {
+// newProcess creates the kind of node that the settings select: one that is served by a
+// store, or one that reads declarations and communicates with peers.
+func newProcess(configured *settings.Settings, adapter systemnode.Adapter, logger log.Interface, dropped func() uint64) (process, error) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	options := systemnode.Options{Logger: logger, Registry: registry, DroppedLines: dropped}
@@ -95,7 +95,7 @@
 	return systemnode.New(configured, options)
 }
 
-// override applies the flags to the settings.
+// override replaces settings by the flags that are not empty.
 func (c *Command) override(configured *settings.Settings) {
 	for target, value := range map[*string]string{
 		&configured.Name:            c.Name,
@@ -112,9 +112,9 @@
 	}
 }
 
-// handleSignals turns the first SIGTERM or SIGINT into a planned stop and the
-// second into an immediate one, and SIGHUP into a reload. It returns a function
-// that ends the handling.
+// handleSignals starts a planned stop at the first SIGTERM or SIGINT, an immediate
+// stop at the second, and checks the settings at SIGHUP. It returns a function that
+// ends the handling.
 func (c *Command) handleSignals(running process, cancel context.CancelFunc, logger log.Interface) func() {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -128,7 +128,7 @@
 				stopping = true
 				running.Stop()
 			default:
-				logging.Problem(logger, "node.cut", fault.New(fault.Unready, "send one signal only and wait", "a second signal cut the planned stop"),
+				logging.Problem(logger, "node.cut", fault.New(fault.Unready, "send only one signal and wait", "a second signal ended the planned stop early"),
 					logging.Fields{"in_flight": running.InFlight()})
 				cancel()
 			}
@@ -140,9 +140,9 @@
 	}
 }
 
-// reload checks the settings file again. A bad one changes nothing. Settings
-// are taken at the start of a process, so a good one says what a restart would
-// bring.
+// reload checks the settings file and logs whether it is valid. It applies nothing:
+// settings take effect only when a process starts, so the log shows whether a restart
+// would succeed.
 func (c *Command) reload(logger log.Interface) {
 	if _, err := settings.Load(c.Settings, c.override); err != nil {
 		logging.Problem(logger, "settings.refused", err, logging.Fields{"file": c.Settings})
--- a/internal/command/plan/fields.go
+++ b/internal/command/plan/fields.go
@@ -7,28 +7,28 @@
 	"sliphead/internal/declaration"
 )
 
-// fieldChanges says which fields of a route differ. The selectors are left to
-// the gains and losses of workers.
+// fieldChanges describes the fields of a route that differ, one per line. Selectors
+// are not compared: their changes appear as gained and lost workers.
 func fieldChanges(before, after declaration.Route) []string {
 	var lines []string
-	note := func(field string, old, latest any) {
+	compareField := func(field string, old, latest any) {
 		if old != latest {
-			lines = append(lines, fmt.Sprintf("route %s: %s %v becomes %v", before.Name, field, shown(old), shown(latest)))
+			lines = append(lines, fmt.Sprintf("route %s: %s %v becomes %v", before.Name, field, displayValue(old), displayValue(latest)))
 		}
 	}
-	note("host", before.Host, after.Host)
-	note("pathPrefix", before.PathPrefix, after.PathPrefix)
-	note("methods", strings.Join(before.Methods, ","), strings.Join(after.Methods, ","))
-	note("service", before.Service, after.Service)
-	note("secret", before.Secret, after.Secret)
-	note("priority", before.Priority, after.Priority)
-	note("repeatable", before.Repeatable, after.Repeatable)
-	note("deadlineMs", before.DeadlineMS, after.DeadlineMS)
+	compareField("host", before.Host, after.Host)
+	compareField("pathPrefix", before.PathPrefix, after.PathPrefix)
+	compareField("methods", strings.Join(before.Methods, ","), strings.Join(after.Methods, ","))
+	compareField("service", before.Service, after.Service)
+	compareField("secret", before.Secret, after.Secret)
+	compareField("priority", before.Priority, after.Priority)
+	compareField("repeatable", before.Repeatable, after.Repeatable)
+	compareField("deadlineMs", before.DeadlineMS, after.DeadlineMS)
 	return lines
 }
 
-// shown makes an empty field visible.
-func shown(value any) any {
+// displayValue returns a visible text for an empty value.
+func displayValue(value any) any {
 	if value == "" {
 		return "(any or none)"
 	}
--- a/internal/command/plan/plan.go
+++ b/internal/command/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan shows operators what a change of declarations does to routes,
-// now and at each moment of the coming week at which a window opens or closes.
+// Package plan implements the command that shows how a change of declarations affects
+// routes: now, and at each moment of the coming week at which a window opens or closes.
 package plan
 
 import (
@@ -13,19 +13,19 @@
 	"sliphead/internal/declaration"
 )
 
-// Horizon is how far a plan looks ahead.
+// Horizon is the period that a plan covers.
 const Horizon = 7 * 24 * time.Hour
 
-// Command is the grammar of "plan --from A --to B --at TIME".
+// Command defines the flags of "plan --from A --to B --at TIME".
 type Command struct {
 	From string    `required:"" help:"Directory of the declarations in force." type:"existingdir"`
-	To   string    `required:"" help:"Directory of the declarations to come." type:"existingdir"`
+	To   string    `required:"" help:"Directory of the changed declarations." type:"existingdir"`
 	At   time.Time `help:"Moment of the change, as in 2026-12-02T18:30:00+05:30 (default: now)."`
 }
 
-// Run prints the changes of the routes themselves, then for each moment the
-// routes that gain (+) or lose (-) workers by the change. A moment at which the
-// gains and losses are those of the moment before is left out.
+// Run prints the changes of the routes' fields, then for each moment the routes that
+// gain (+) or lose (-) workers by the change. A moment is left out when its gains and
+// losses are the same as at the moment before.
 func (c *Command) Run(output io.Writer) error {
 	from, err := declaration.LoadValid(os.DirFS(c.From))
 	if err != nil {
@@ -39,7 +39,7 @@
 	for _, line := range routeChanges(from, to) {
 		fmt.Fprintln(output, line)
 	}
-	steps := stepsOf(from, to, at)
+	steps := computeSteps(from, to, at)
 	for _, step := range steps {
 		write(output, step)
 	}
--- a/internal/command/plan/plan_test.go
+++ b/internal/command/plan/plan_test.go
@@ -12,8 +12,8 @@
 
 const mesh = "../../../experiments/declarations/chandrika"
 
-// edited returns a copy of the mesh in which a file's text is replaced.
-func edited(t *testing.T, file string, replacements ...string) string {
+// editedMesh returns the directory of a copy of the mesh with replacements in one file.
+func editedMesh(t *testing.T, file string, replacements ...string) string {
 	t.Helper()
 	directory := t.TempDir()
 	must.NoError(t, os.CopyFS(directory, os.DirFS(mesh)))
@@ -26,7 +26,7 @@
 	return directory
 }
 
-func planned(t *testing.T, to string) string {
+func runPlan(t *testing.T, to string) string {
 	t.Helper()
 	kochi := time.FixedZone("", 19_800)
 	command := Command{From: mesh, To: to, At: time.Date(2026, 12, 5, 18, 30, 0, 0, kochi)} // a Saturday
@@ -35,21 +35,21 @@
 	return output.String()
 }
 
-func TestPlanOfNoChange(t *testing.T) {
-	must.Eq(t, "no route gains or loses a worker until 2026-12-12T18:30:00+05:30\n", planned(t, mesh))
+func TestPlanWithoutChanges(t *testing.T) {
+	must.Eq(t, "no route gains or loses a worker until 2026-12-12T18:30:00+05:30\n", runPlan(t, mesh))
 }
 
 func TestPlanShowsGainsAndLossesAtBoundaries(t *testing.T) {
-	to := edited(t, "selectors.yaml", "days: [sun]\n        from: \"10:00\"", "days: [sun]\n        from: \"11:00\"")
+	to := editedMesh(t, "selectors.yaml", "days: [sun]\n        from: \"10:00\"", "days: [sun]\n        from: \"11:00\"")
 	must.Eq(t, `2026-12-06T10:00:00+05:30
   catalogue,orders: -storefront-2,storefront-3,storefront-5,storefront-7
 2026-12-06T11:00:00+05:30
   catalogue,orders: as before the change
-`, planned(t, to))
+`, runPlan(t, to))
 }
 
-func TestPlanShowsRoutesThatChange(t *testing.T) {
-	to := edited(t, "routes.yaml", "repeatable: false", "repeatable: true", "name: reports", "name: stock-reports",
+func TestPlanShowsChangedRoutes(t *testing.T) {
+	to := editedMesh(t, "routes.yaml", "repeatable: false", "repeatable: true", "name: reports", "name: stock-reports",
 		"selectors: [prepress-always, prepress-night]", "selectors: [prepress-always]")
 	must.StrHasPrefix(t, `route orders: repeatable false becomes true
 route reports: dropped
@@ -64,10 +64,10 @@
 2026-12-06T20:00:00+05:30
   reports: -prepress-1,prepress-4,prepress-5
 2026-12-07T08:30:00+05:30
-`, planned(t, to))
+`, runPlan(t, to))
 }
 
-func TestPlanRefusesFaultyDeclarations(t *testing.T) {
-	command := Command{From: mesh, To: edited(t, "zones.yaml", "Asia/Kolkata", "IST")}
+func TestPlanRejectsInvalidDeclarations(t *testing.T) {
+	command := Command{From: mesh, To: editedMesh(t, "zones.yaml", "Asia/Kolkata", "IST")}
 	must.ErrorContains(t, command.Run(&strings.Builder{}), "remedy: run sliphead check")
 }
--- a/internal/command/plan/steps.go
+++ b/internal/command/plan/steps.go
@@ -9,7 +9,7 @@
 	"sliphead/internal/declaration"
 )
 
-// change is what routes gain and lose, by worker name.
+// change holds the names of the workers that a route gains and loses, sorted.
 type change struct{ gained, lost []string }
 
 func (c change) empty() bool { return len(c.gained) == 0 && len(c.lost) == 0 }
@@ -33,19 +33,20 @@
 	return strings.Join(parts, " ")
 }
 
-// routesChange is one change of several routes.
-type routesChange struct {
+// changeOfRoutes is a change that several routes have in common.
+type changeOfRoutes struct {
 	routes []string
 	change change
 }
 
-// step holds the routes whose change differs from the moment before.
+// step holds, for one moment, the routes whose change differs from that at the moment
+// before.
 type step struct {
 	at      time.Time
-	changes []routesChange
+	changes []changeOfRoutes
 }
 
-// add notes a route's change next to the routes that change alike.
+// add records a route's change, grouped with routes that have the same change.
 func (s *step) add(route string, each change) {
 	for index := range s.changes {
 		if s.changes[index].change.equal(each) {
@@ -53,24 +54,24 @@
 			return
 		}
 	}
-	s.changes = append(s.changes, routesChange{routes: []string{route}, change: each})
+	s.changes = append(s.changes, changeOfRoutes{routes: []string{route}, change: each})
 }
 
-// stepsOf compares two documents at a moment and at each boundary of either
-// within the horizon.
-func stepsOf(from, to *declaration.Document, at time.Time) []step {
+// computeSteps compares two documents at a moment and at each boundary of either document
+// up to Horizon later.
+func computeSteps(from, to *declaration.Document, at time.Time) []step {
 	end := at.Add(Horizon)
 	moments := append(declaration.Boundaries(from, at, end), declaration.Boundaries(to, at, end)...)
 	moments = slices.Insert(declaration.SortedMoments(moments), 0, at)
-	before := newSide(from)
-	after := newSide(to)
+	before := newDocumentView(from)
+	after := newDocumentView(to)
 	previous := make(map[string]change)
 	var steps []step
 	for _, moment := range moments {
 		current := step{at: moment.In(at.Location())}
 		for _, name := range routeNames(from, to) {
 			each := compare(before.workers(name, moment), after.workers(name, moment))
-			if last, known := previous[name]; known && !each.equal(last) || !known && !each.empty() {
+			if last, found := previous[name]; found && !each.equal(last) || !found && !each.empty() {
 				current.add(name, each)
 			}
 			previous[name] = each
@@ -82,18 +83,19 @@
 	return steps
 }
 
-// side is one of the two documents.
-type side struct {
+// documentView is one of the two compared documents, prepared for evaluation.
+type documentView struct {
 	evaluator *declaration.Evaluator
 	routes    map[string]declaration.Route
 }
 
-func newSide(document *declaration.Document) side {
-	return side{evaluator: declaration.NewEvaluator(document), routes: routesByName(document)}
+func newDocumentView(document *declaration.Document) documentView {
+	return documentView{evaluator: declaration.NewEvaluator(document), routes: routesByName(document)}
 }
 
-// workers returns the workers of a route, none when the side lacks it.
-func (s side) workers(route string, at time.Time) []string {
+// workers returns the workers that a route selects, none if the document lacks the
+// route.
+func (s documentView) workers(route string, at time.Time) []string {
 	declared, found := s.routes[route]
 	if !found {
 		return nil
@@ -101,20 +103,20 @@
 	return s.evaluator.Workers(declared, at)
 }
 
-// compare takes sorted names.
+// compare returns the difference of two sorted lists of worker names.
 func compare(before, after []string) change {
-	return change{gained: without(after, before), lost: without(before, after)}
+	return change{gained: difference(after, before), lost: difference(before, after)}
 }
 
-// without returns the names that the sorted others lack.
-func without(names, others []string) []string {
-	var left []string
+// difference returns the names that are not in others, which must be sorted.
+func difference(names, others []string) []string {
+	var missing []string
 	for _, name := range names {
 		if _, found := slices.BinarySearch(others, name); !found {
-			left = append(left, name)
+			missing = append(missing, name)
 		}
 	}
-	return left
+	return missing
 }
 
 func routesByName(document *declaration.Document) map[string]declaration.Route {
@@ -125,7 +127,7 @@
 	return routes
 }
 
-// routeNames returns the names of the routes of both documents, sorted.
+// routeNames returns the sorted names of the routes of both documents.
 func routeNames(from, to *declaration.Document) []string {
 	var names []string
 	for _, route := range slices.Concat(from.Routes, to.Routes) {
@@ -135,19 +137,19 @@
 	return slices.Compact(names)
 }
 
-// routeChanges says which routes are new, dropped or matched and treated in
-// another way.
+// routeChanges describes the routes that are new, dropped or have changed fields, one
+// change per line.
 func routeChanges(from, to *declaration.Document) []string {
 	before := routesByName(from)
 	after := routesByName(to)
 	var lines []string
 	for _, name := range routeNames(from, to) {
-		old, had := before[name]
-		latest, has := after[name]
+		old, inBefore := before[name]
+		latest, inAfter := after[name]
 		switch {
-		case !had:
+		case !inBefore:
 			lines = append(lines, fmt.Sprintf("route %s: new", name))
-		case !has:
+		case !inAfter:
 			lines = append(lines, fmt.Sprintf("route %s: dropped", name))
 		default:
 			lines = append(lines, fieldChanges(old, latest)...)
--- a/internal/command/refusals/refusals.go
+++ b/internal/command/refusals/refusals.go
@@ -1,5 +1,5 @@
-// Package refusals holds the command that shows which requests callers were refused,
-// when and why, from the logs of all nodes: where to look first after an overload.
+// Package refusals implements the command that shows from the logs of all nodes which
+// requests were refused, when and why. After an overload, start the analysis here.
 package refusals
 
 import (
@@ -15,44 +15,44 @@
 	"sliphead/internal/fault"
 )
 
-// Command prints a row for each span of time, route and cause.
+// Command prints a row for each time span, route and cause.
 type Command struct {
-	Every time.Duration `default:"1s" help:"The length of a span of time, 10ms at least."`
-	Files []string      `arg:"" optional:"" type:"existingfile" help:"Logs of the nodes; none: standard input."`
+	Every time.Duration `default:"1s" help:"Length of a time span, at least 10ms."`
+	Files []string      `arg:"" optional:"" type:"existingfile" help:"Log files of the nodes (default: standard input)."`
 }
 
-// leastEvery keeps a table readable.
-const leastEvery = 10 * time.Millisecond
+// minEvery is the minimum time span. Shorter spans would make the table unreadable.
+const minEvery = 10 * time.Millisecond
 
-// rowKey says what is counted together.
+// rowKey identifies the row that counts a refusal.
 type rowKey struct {
-	from         time.Time // begin of the span
+	start        time.Time // start of the span
 	route, cause string
 }
 
-// row is what is told of requests that were refused.
+// row collects the refusals of one span, route and cause.
 type row struct {
-	refused  int
-	returned int   // of them, refused before: their callers won't come back
-	offers   []int // nodes that each was offered to
-	waits    []int // milliseconds after which each was told to come back
-	held     []int // milliseconds that each took
+	refused     int
+	returned    int   // those refused before; their callers do not retry again
+	offers      []int // number of nodes that each request was offered to
+	retryDelays []int // milliseconds after which each caller was asked to retry
+	durations   []int // milliseconds from the arrival of each request to its refusal
 }
 
-// Run implements the command.
+// Run reads the logs and prints the table.
 func (c *Command) Run(output io.Writer) error {
-	if c.Every < leastEvery {
-		return fault.New(fault.Caller, "give --every as 10ms or more", "a span of %s is too short", c.Every)
+	if c.Every < minEvery {
+		return fault.New(fault.Caller, "give --every as 10ms or more", "the time span %s is too short", c.Every)
 	}
 	rows := map[rowKey]*row{}
-	unread := 0
+	unparsed := 0
 	err := logfile.Each(c.Files, func(_, line string) {
 		if logfile.Field(line, "event") != "request.refused" || logfile.Field(line, "side") != "outbound" {
 			return
 		}
 		at, err := time.Parse(time.RFC3339Nano, logfile.Field(line, "time"))
 		if err != nil {
-			unread++
+			unparsed++
 			return
 		}
 		key := rowKey{at.Truncate(c.Every), logfile.Field(line, "route"), logfile.Field(line, "cause")}
@@ -64,21 +64,21 @@
 	if err != nil {
 		return err
 	}
-	return print(output, rows, unread)
+	return print(output, rows, unparsed)
 }
 
-// add takes one refusal in.
+// add adds the refusal of a log line to the row.
 func (r *row) add(line string) {
 	r.refused++
 	if logfile.Field(line, "returned") == "true" {
 		r.returned++
 	}
 	r.offers = appendNumber(r.offers, line, "offers")
-	r.waits = appendNumber(r.waits, line, "retry_after_ms")
-	r.held = appendNumber(r.held, line, "held_ms")
+	r.retryDelays = appendNumber(r.retryDelays, line, "retry_after_ms")
+	r.durations = appendNumber(r.durations, line, "held_ms")
 }
 
-// appendNumber appends a field's number; a line may lack it.
+// appendNumber appends the number in a field of the line, if the line has the field.
 func appendNumber(numbers []int, line, key string) []int {
 	number, err := strconv.Atoi(logfile.Field(line, key))
 	if err != nil {
@@ -87,30 +87,31 @@
 	return append(numbers, number)
 }
 
-// print writes the rows in the order of time, the most refusals of a span first.
-func print(output io.Writer, rows map[rowKey]*row, unread int) error {
+// print writes the rows ordered by time; within a span, rows with more refusals come
+// first.
+func print(output io.Writer, rows map[rowKey]*row, unparsed int) error {
 	keys := make([]rowKey, 0, len(rows))
 	for key := range rows {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b rowKey) int {
-		return cmp.Or(a.from.Compare(b.from), rows[b].refused-rows[a].refused, cmp.Compare(a.route, b.route), cmp.Compare(a.cause, b.cause))
+		return cmp.Or(a.start.Compare(b.start), rows[b].refused-rows[a].refused, cmp.Compare(a.route, b.route), cmp.Compare(a.cause, b.cause))
 	})
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "time\troute\tcause\trefused\treturned\toffers\twait told ms\theld ms") // Flush tells the error
+	_, _ = fmt.Fprintln(table, "time\troute\tcause\trefused\treturned\toffers\tretry after ms\theld ms") // Flush returns the error
 	for _, key := range keys {
 		each := rows[key]
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", key.from.UTC().Format("15:04:05.000"), orDash(key.route), key.cause,
-			each.refused, each.returned, middle(each.offers), middle(each.waits), middle(each.held))
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", key.start.UTC().Format("15:04:05.000"), orDash(key.route), key.cause,
+			each.refused, each.returned, median(each.offers), median(each.retryDelays), median(each.durations))
 	}
-	if unread > 0 {
-		_, _ = fmt.Fprintf(table, "lines left out, their time can't be read: %d\n", unread)
+	if unparsed > 0 {
+		_, _ = fmt.Fprintf(table, "lines skipped, their time can't be read: %d\n", unparsed)
 	}
 	return table.Flush()
 }
 
-// middle is the median, as text.
-func middle(numbers []int) string {
+// median returns the median as text, "-" for no numbers. It sorts numbers.
+func median(numbers []int) string {
 	if len(numbers) == 0 {
 		return "-"
 	}
--- a/internal/command/refusals/refusals_test.go
+++ b/internal/command/refusals/refusals_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-const logged = `time=2026-12-02T10:00:00.100Z level=info event=request.refused cause=refused held_ms=5 offers=6 retry_after_ms=20 route=read side=outbound
+const logLines = `time=2026-12-02T10:00:00.100Z level=info event=request.refused cause=refused held_ms=5 offers=6 retry_after_ms=20 route=read side=outbound
 time=2026-12-02T10:00:00.200Z level=info event=request.refused cause=refused held_ms=9 offers=10 retry_after_ms=400 returned=true route=read side=outbound
 time=2026-12-02T10:00:00.300Z level=info event=request.refused cause=refused held_ms=7 offers=8 retry_after_ms=60 route=read side=outbound
 time=2026-12-02T10:00:00.300Z level=info event=request.refused cause=draining route=read side=inbound
@@ -20,9 +20,9 @@
 time=unknown level=info event=request.refused cause=lease side=outbound
 `
 
-func TestRefusals(t *testing.T) {
+func TestRefusalsAreCountedPerSpanRouteAndCause(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "node.log")
-	must.NoError(t, os.WriteFile(name, []byte(logged), 0o600))
+	must.NoError(t, os.WriteFile(name, []byte(logLines), 0o600))
 	var output bytes.Buffer
 	must.NoError(t, (&Command{Every: time.Second, Files: []string{name}}).Run(&output))
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
@@ -32,6 +32,6 @@
 	must.StrContains(t, lines[3], "can't be read: 1")
 }
 
-func TestRefusalsOfTooShortSpans(t *testing.T) {
+func TestTooShortSpanIsRejected(t *testing.T) {
 	must.ErrorContains(t, (&Command{Every: time.Millisecond}).Run(&bytes.Buffer{}), "--every")
 }
--- a/internal/command/release/release.go
+++ b/internal/command/release/release.go
@@ -1,4 +1,4 @@
-// Package release holds the command that lets a request go that is held in quarantine.
+// Package release implements the command that releases a request from quarantine.
 package release
 
 import (
@@ -13,43 +13,44 @@
 	"sliphead/internal/fault"
 )
 
-// requestTimeout bounds the request to the admin listener.
+// requestTimeout is the timeout of the request to the admin listener.
 const requestTimeout = 5 * time.Second
 
-// Command has a held request sent to workers again, by all nodes.
+// Command releases a quarantined request, so that all nodes send it to workers again.
 type Command struct {
-	Node        string `required:"" help:"The admin listener (IP:port) of any live node."`
-	Fingerprint string `arg:"" help:"The request's fingerprint, as sliphead status and the log name it."`
+	Node        string `required:"" help:"The admin listener (IP:port) of any running node."`
+	Fingerprint string `arg:"" help:"The request's fingerprint, as shown by sliphead status and in the log."`
 }
 
-// condition is the answer of the admin listener.
-type condition struct {
+// adminResponse is the response body of the admin listener.
+type adminResponse struct {
 	OK     bool   `json:"ok"`
-	Reason string `json:"reason"` // the state before, or what was wrong
+	Reason string `json:"reason"` // the previous state of the request, or the reason of a failure
 }
 
-// Run implements the command.
+// Run sends the request to the node and prints the previous state of the quarantined
+// request.
 func (c *Command) Run(output io.Writer) error {
-	const remedy = "name a live node's admin listener with --node"
+	const remedy = "give the admin listener of a running node with --node"
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	target := "http://" + c.Node + "/quarantine/release?fingerprint=" + url.QueryEscape(c.Fingerprint)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, nil)
 	if err != nil {
-		return fault.Wrap(err, fault.Settings, remedy, "%q is no address", c.Node)
+		return fault.Wrap(err, fault.Settings, remedy, "%q is not a valid address", c.Node)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return fault.Wrap(err, fault.Peer, remedy, "%s does not answer", c.Node)
+		return fault.Wrap(err, fault.Peer, remedy, "no response from %s", c.Node)
 	}
 	defer response.Body.Close()
-	var told condition
-	if err := json.NewDecoder(response.Body).Decode(&told); err != nil {
-		return fault.Wrap(err, fault.Peer, "use the same release as the node, one that a store serves", "%s answered %s", c.Node, response.Status)
+	var body adminResponse
+	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
+		return fault.Wrap(err, fault.Peer, "use the same release as the node, and a node that is served by a store", "%s responded with %s", c.Node, response.Status)
 	}
-	if !told.OK {
-		return fault.New(fault.Caller, "copy the fingerprint from sliphead status", "%s refused: %s", c.Node, told.Reason)
+	if !body.OK {
+		return fault.New(fault.Caller, "copy the fingerprint from sliphead status", "%s rejected the release: %s", c.Node, body.Reason)
 	}
-	_, err = fmt.Fprintf(output, "%s was %s; all nodes send it to workers again, and hold it after three more have ended\n", c.Fingerprint, told.Reason)
+	_, err = fmt.Fprintf(output, "%s was %s; all nodes send it to workers again, and quarantine it again after it has terminated three more workers\n", c.Fingerprint, body.Reason)
 	return err
 }
--- a/internal/command/status/status.go
+++ b/internal/command/status/status.go
@@ -1,4 +1,4 @@
-// Package status holds the command that shows a node's status.
+// Package status implements the command that shows a node's status.
 package status
 
 import (
@@ -19,16 +19,16 @@
 	"sliphead/internal/wire"
 )
 
-// requestTimeout bounds one question to an admin listener.
+// requestTimeout is the timeout of the request to the admin listener.
 const requestTimeout = 5 * time.Second
 
-// Command prints what a node says of itself and of the fleet it sees.
+// Command prints a node's status and its view of the fleet.
 type Command struct {
 	Node string `required:"" help:"The node's admin listener (IP:port)."`
-	JSON bool   `help:"Print the whole status as JSON."`
+	JSON bool   `help:"Print the complete status as JSON."`
 }
 
-// Run implements the command.
+// Run fetches the status and prints it.
 func (c *Command) Run(output io.Writer) error {
 	body, err := fetch(c.Node)
 	if err != nil {
@@ -44,31 +44,31 @@
 	}
 	var status node.Status
 	if err := json.Unmarshal(body, &status); err != nil {
-		return fault.Wrap(err, fault.Peer, "use the same release as the node", "the status of %s can't be read", c.Node)
+		return fault.Wrap(err, fault.Peer, "use the same release as the node", "the status of %s cannot be decoded", c.Node)
 	}
 	return write(output, status)
 }
 
-// fetch asks an admin listener for its status.
+// fetch requests the status from an admin listener and returns the response's body.
 func fetch(address string) ([]byte, error) {
-	const remedy = "name a live node's admin listener with --node"
+	const remedy = "give the admin listener of a running node with --node"
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Settings, remedy, "%q is no address", address)
+		return nil, fault.Wrap(err, fault.Settings, remedy, "%q is not a valid address", address)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Peer, remedy, "%s does not answer", address)
+		return nil, fault.Wrap(err, fault.Peer, remedy, "no response from %s", address)
 	}
 	defer response.Body.Close()
-	const mostBytes = 16 << 20
-	body, err := io.ReadAll(io.LimitReader(response.Body, mostBytes))
-	return body, fault.Wrap(err, fault.Peer, remedy, "the status of %s broke off", address)
+	const maxBytes = 16 << 20
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBytes))
+	return body, fault.Wrap(err, fault.Peer, remedy, "the response of %s ended early", address)
 }
 
-// write prints a status for a person, the most urgent first.
+// write prints a status as text, the most urgent information first.
 func write(output io.Writer, status node.Status) error {
 	fmt.Fprintf(output, "node       %s in zone %s\n", status.Name, status.Zone)
 	fmt.Fprintf(output, "ready      %t %s\n", status.Ready, status.Reason)
@@ -77,7 +77,7 @@
 		fmt.Fprintf(output, "source     failed: %s\n", failure)
 	}
 	lowest, highest, behind := fleetVersions(status)
-	fmt.Fprintf(output, "fleet      %d members, versions %s to %s as last heard\n", len(status.Members), lowest, highest)
+	fmt.Fprintf(output, "fleet      %d members, versions %s to %s as last reported\n", len(status.Members), lowest, highest)
 	for _, name := range behind {
 		fmt.Fprintf(output, "behind     %s at %s\n", name, status.PeerVersions[name])
 	}
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// writeCatalog prints the status of a node that a store serves.
+// writeCatalog prints the status of a node that is served by a store.
 func writeCatalog(output io.Writer, status node.CatalogStatus) error {
 	role := "reads the store"
 	if !status.Replication.Reader {
@@ -106,7 +106,7 @@
 	_, err := fmt.Fprintf(output, `node       %s in zone %s, service %s
 ready      %t %s
 version    %d in force, store revision %d of era %d, confirmed %.2f s ago
-news       %s, passes them on to %d nodes
+updates    %s, sent on to %d nodes
 instances  %d recorded, %d records and orders of the store doubted
 evacuated  %s
 requests   %d in flight, %d slots in use, %d queued
@@ -120,29 +120,29 @@
 		return err
 	}
 	if limit := status.Limit; limit.Limited {
-		fmt.Fprintf(output, "limit      the worker takes %g requests a second for %.1f s now, was sent %d in %s\n", limit.PerSecond, limit.ForS, limit.Sent, workerlimit.SentWindow)
+		fmt.Fprintf(output, "limit      the worker has accepted at most %g requests/s for %.1f s, %d sent in the last %s\n", limit.PerSecond, limit.ForS, limit.Sent, workerlimit.SentWindow)
 	}
 	if limits := status.Quota; limits != nil {
-		fmt.Fprintf(output, "quota      %d tenants with a limit, %d stripes here, %d tokens in hand\n", limits.Tenants, limits.Stripes, limits.Credits)
+		fmt.Fprintf(output, "quota      %d tenants with a limit, %d stripes here, %d tokens available\n", limits.Tenants, limits.Stripes, limits.Credits)
 	}
 	for _, each := range status.Quarantine.Requests {
-		fmt.Fprintf(output, "%-10s %s, next trial in %.0f s after %d, workers %s\n", each.State, each.Fingerprint, each.TrialIn, each.Trials, strings.Join(each.Workers, ", "))
+		fmt.Fprintf(output, "%-10s %s, next trial in %.0f s after %d trials, workers %s\n", each.State, each.Fingerprint, each.TrialIn, each.Trials, strings.Join(each.Workers, ", "))
 	}
 	return nil
 }
 
-// fleetVersions returns the lowest and highest version in force that the node
-// has heard of, and the members below the highest.
+// fleetVersions returns the lowest and highest version in force among the node and its
+// peers, as last reported, and the sorted names of the peers below the highest.
 func fleetVersions(status node.Status) (lowest, highest version.Version, behind []string) {
 	lowest, highest = status.Version, status.Version
-	for _, heard := range status.PeerVersions {
-		highest = version.Max(highest, heard)
-		if lowest.After(heard) {
-			lowest = heard
+	for _, reported := range status.PeerVersions {
+		highest = version.Max(highest, reported)
+		if lowest.After(reported) {
+			lowest = reported
 		}
 	}
-	for name, heard := range status.PeerVersions {
-		if highest.After(heard) {
+	for name, reported := range status.PeerVersions {
+		if highest.After(reported) {
 			behind = append(behind, name)
 		}
 	}
--- a/internal/command/trace/trace.go
+++ b/internal/command/trace/trace.go
@@ -1,4 +1,4 @@
-// Package trace holds the command that follows one request through the logs of
+// Package trace implements the command that shows one request's events from the logs of
 // several nodes.
 package trace
 
@@ -12,28 +12,28 @@
 	"sliphead/internal/fault"
 )
 
-// Command prints the lines of one request in the order of their time.
+// Command prints the log lines of one request, ordered by time.
 type Command struct {
 	ID    string   `arg:"" help:"The request's id."`
-	Files []string `arg:"" optional:"" type:"existingfile" help:"Logs of the nodes; none: standard input."`
+	Files []string `arg:"" optional:"" type:"existingfile" help:"Log files of the nodes (default: standard input)."`
 }
 
-// line is a line of a log, with what it is sorted by.
+// line is a log line with its sort keys.
 type line struct {
-	time  string // RFC 3339, sorts as text
-	order int    // place among all lines read
+	time  string // RFC 3339; sorts correctly as text
+	order int    // position among the lines found
 	text  string
 }
 
-// Run implements the command.
+// Run prints the lines, or returns an error if there are none.
 func (c *Command) Run(output io.Writer) error {
 	found, err := c.collect()
 	if err != nil {
 		return err
 	}
 	if len(found) == 0 {
-		return fault.New(fault.Caller, "give the logs of all nodes; requests that were answered are counted and not logged, and bursts are cut (event log.limited)",
-			"no line names request %q", c.ID)
+		return fault.New(fault.Caller, "give the logs of all nodes; requests with a response are counted and not logged, and bursts of log lines are limited (event log.limited)",
+			"no log line contains request %q", c.ID)
 	}
 	for _, each := range found {
 		if _, err := fmt.Fprintln(output, each.text); err != nil {
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// collect returns the lines of all logs that name the request.
+// collect returns the log lines that contain the request's id. Lines of files are sorted
+// by time; lines of standard input keep their order.
 func (c *Command) collect() ([]line, error) {
 	var found []line
 	err := logfile.Each(c.Files, func(file, text string) {
--- a/internal/command/trace/trace_test.go
+++ b/internal/command/trace/trace_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestTraceMergesTheLogsOfSeveralNodes(t *testing.T) {
+func TestTraceMergesLogsOfSeveralNodes(t *testing.T) {
 	directory := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(directory, name)
@@ -25,5 +25,5 @@
 	must.Eq(t, caller+": time=2026-01-01T00:00:00.500Z level=info event=request.retried request=r-1 cause=silent\n"+
 		worker+": time=2026-01-01T00:00:01.000Z level=warn event=request.unknown request=r-1 cause=broken\n"+
 		caller+": time=2026-01-01T00:00:02.000Z level=warn event=request.unknown request=r-1 status=502\n", output.String())
-	must.ErrorContains(t, (&Command{ID: "r-2", Files: []string{caller}}).Run(&output), "no line names request")
+	must.ErrorContains(t, (&Command{ID: "r-2", Files: []string{caller}}).Run(&output), "no log line contains request")
 }
