--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	benchmarkSize = 850
-	settleLimit   = 5 * time.Minute
+	benchmarkSize             = 850
+	benchmarkConvergenceLimit = 5 * time.Minute
 )
 
-// settledFleet returns a fleet in which all know all for long.
-func settledFleet(b *testing.B, size int, profile Profile) *fleet {
+// steadyFleet returns a fleet in which all nodes have held the registers of all
+// others for compactAfter.
+func steadyFleet(b *testing.B, size int, profile Profile) *fleet {
 	f := newFleet(b, size, 1, profile)
 	var members []wire.Member
 	for _, n := range f.nodes {
@@ -21,18 +22,19 @@
 	}
 	for _, n := range f.nodes {
 		n.machine.Step(Received{Message: wire.Envelope{From: "test", Sync: &wire.Sync{Members: members}}}, f.now)
-		n.machine.rumors = newRumors()
+		n.machine.gossipQueue = newGossipQueue()
 	}
-	f.run(settledAfter)
+	f.run(compactAfter)
 	return f
 }
 
-// measured reports the bytes sent per running node, per second or in all.
-func (f *fleet) measured(b *testing.B, run func()) {
+// reportTraffic reports the bytes sent per running node and second during run, its
+// virtual duration and the number of live members declared dead.
+func (f *fleet) reportTraffic(b *testing.B, run func()) {
 	begin := f.now
-	f.datagramBytes, f.streamBytes, f.measure = 0, 0, true
+	f.datagramBytes, f.streamBytes, f.measuring = 0, 0, true
 	run()
-	f.measure = false
+	f.measuring = false
 	running := 0
 	for _, n := range f.nodes {
 		if n.running {
@@ -43,7 +45,7 @@
 	b.ReportMetric(float64(f.datagramBytes)/float64(running)/seconds, "datagramB/node/s")
 	b.ReportMetric(float64(f.streamBytes)/float64(running)/seconds, "streamB/node/s")
 	b.ReportMetric(seconds, "s")
-	b.ReportMetric(float64(f.deaths), "false-deaths")
+	b.ReportMetric(float64(f.falseDeaths), "false-deaths")
 }
 
 func (f *fleet) killHalf() {
@@ -52,7 +54,7 @@
 	}
 }
 
-// churn changes one endpoint a second in the whole fleet.
+// churn changes the state of one endpoint of the fleet per second.
 func (f *fleet) churn(seconds int) {
 	for index := range seconds {
 		state := []wire.EndpointState{wire.EndpointStarting, wire.EndpointReady}[index%2]
@@ -61,7 +63,7 @@
 	}
 }
 
-// scenarios give the time that each takes and what it sends in that time.
+// scenarios are measured by their virtual duration and the traffic during run.
 var scenarios = []struct {
 	name    string
 	prepare func(f *fleet)
@@ -72,34 +74,34 @@
 	{"loss5", func(f *fleet) { f.loss = 0.05 }, func(f *fleet) { f.run(20 * time.Second) }},
 	{"change", nil, func(f *fleet) {
 		f.setEndpoint(f.nodes[17], wire.EndpointDraining)
-		f.until(settleLimit, "agreed", f.agreed)
+		f.runUntil(benchmarkConvergenceLimit, "converged", f.converged)
 	}},
 	{"death", nil, func(f *fleet) {
 		f.kill(f.nodes[42])
-		f.until(settleLimit, "agreed", f.agreed)
+		f.runUntil(benchmarkConvergenceLimit, "converged", f.converged)
 	}},
 	{"half", nil, func(f *fleet) {
 		f.killHalf()
-		f.until(settleLimit, "agreed", f.agreed)
+		f.runUntil(benchmarkConvergenceLimit, "converged", f.converged)
 	}},
 	{"return", func(f *fleet) {
 		f.killHalf()
-		f.until(settleLimit, "agreed", f.agreed)
+		f.runUntil(benchmarkConvergenceLimit, "converged", f.converged)
 	}, func(f *fleet) {
 		for index := 0; index < len(f.nodes); index += 2 {
 			f.boot(f.nodes[index], 0)
 		}
-		f.until(settleLimit, "agreed", f.agreed)
+		f.runUntil(benchmarkConvergenceLimit, "converged", f.converged)
 	}},
 	{"heal", func(f *fleet) {
 		for index := range f.nodes {
-			f.side[index] = index % 2
+			f.partitionSide[index] = index % 2
 		}
 		f.run(2 * time.Minute)
-		f.deaths = 0
+		f.falseDeaths = 0
 	}, func(f *fleet) {
-		clear(f.side)
-		f.until(settleLimit, "agreed", f.agreed)
+		clear(f.partitionSide)
+		f.runUntil(benchmarkConvergenceLimit, "converged", f.converged)
 	}},
 }
 
@@ -107,11 +109,11 @@
 	for _, profile := range []Profile{ProfileConvergence, ProfileBytes} {
 		for _, scenario := range scenarios {
 			b.Run(string(profile)+"/"+scenario.name, func(b *testing.B) {
-				f := settledFleet(b, benchmarkSize, profile)
+				f := steadyFleet(b, benchmarkSize, profile)
 				if scenario.prepare != nil {
 					scenario.prepare(f)
 				}
-				f.measured(b, func() { scenario.run(f) })
+				f.reportTraffic(b, func() { scenario.run(f) })
 			})
 		}
 	}
@@ -119,5 +121,5 @@
 
 func BenchmarkStart(b *testing.B) {
 	f := newFleet(b, benchmarkSize, 1, ProfileConvergence)
-	f.measured(b, func() { f.until(settleLimit, "agreed", f.agreed) })
+	f.reportTraffic(b, func() { f.runUntil(benchmarkConvergenceLimit, "converged", f.converged) })
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -7,11 +7,11 @@
 	"sliphead/internal/wire"
 )
 
-// Profile names a set of default settings.
+// Profile selects a set of default settings.
 type Profile string
 
-// The profiles. They differ in how long changes are gathered before they are
-// gossiped: convergence time against control bytes.
+// The profiles differ in the gossip interval: ProfileConvergence gives the shorter
+// convergence time, ProfileBytes the lower control traffic.
 const (
 	ProfileConvergence Profile = "convergence"
 	ProfileBytes       Profile = "bytes"
@@ -24,40 +24,43 @@
 	Self wire.Member
 	// ProbeInterval is the time between two probes by one node.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe waits before helpers are asked;
-	// they are given twice as long.
+	// ProbeTimeout is the time after which a direct probe is followed by indirect
+	// probes. The indirect probes get twice this time.
 	ProbeTimeout time.Duration
-	// SuspicionTimeout is how long a suspect may take to refute in a small
-	// fleet. It grows with the logarithm of the size, up to twice.
+	// SuspicionTimeout is the time that a suspect has to refute in a small fleet.
+	// It grows with the logarithm of the fleet size, up to a factor of two.
 	SuspicionTimeout time.Duration
 	// GossipInterval is the time between two rounds of gossip datagrams. No
-	// datagram is sent while there is nothing to tell.
+	// datagram is sent while no update is queued.
 	GossipInterval time.Duration
-	// IndirectProbes is the number of helpers asked after a probe timed out.
+	// IndirectProbes is the number of peers that are asked to probe a member whose
+	// direct probe timed out.
 	IndirectProbes int
-	// GossipFanout is the number of peers gossiped to in one round.
+	// GossipFanout is the number of peers that receive a datagram in one round.
 	GossipFanout int
-	// MaxUpdates bounds the registers in one datagram, besides its size.
+	// MaxUpdates bounds the number of registers in one datagram. The size of the
+	// datagram is bounded as well.
 	MaxUpdates int
-	// Retransmit is λ: each node transmits a register up to λ·log2(n) times.
+	// Retransmit is the factor λ: each node transmits a changed register about
+	// λ·log2(n) times, where n is the fleet size.
 	Retransmit float64
-	// RepairAfter is how long all peers' view hashes must differ from ours
-	// before registers are compared by stream. RepairInterval is the least time
-	// between two such repairs.
+	// RepairAfter is how long the view hashes of all peers must differ from this
+	// node's before registers are compared over a stream. RepairInterval is the
+	// minimum time between two such repairs.
 	RepairAfter, RepairInterval time.Duration
-	// ReconnectInterval is the time between two probes of addresses that are
-	// not live members: dead ones, seeds and the machine list's.
+	// ReconnectInterval is the mean time between two pings to addresses without a
+	// live member: dead members, seeds and entries of the machine list.
 	ReconnectInterval time.Duration
-	// TombstoneLife is how long a dead register is kept.
+	// TombstoneLife is how long the register of a dead member is retained.
 	TombstoneLife time.Duration
-	// Seeds are peer addresses, host:port, to join by.
+	// Seeds are peer addresses (host:port) for joining the fleet.
 	Seeds []string
-	// Random drives all choices, so that a run can be repeated.
+	// Random is the source of all random choices, so that runs are reproducible.
 	Random *rand.Rand
 }
 
-// DefaultConfig returns the settings of a profile; the convergence profile for
-// an unknown one. Self, Seeds and Random are left to the caller.
+// DefaultConfig returns the settings of a profile. An unknown profile gets those
+// of ProfileConvergence. The caller sets Self, Seeds and Random.
 func DefaultConfig(profile Profile) Config {
 	config := Config{
 		ProbeInterval:     time.Second,
@@ -79,21 +82,21 @@
 	return config
 }
 
-// Bounds that are not settings.
+// Bounds that are not configurable.
 const (
-	datagramLimit       = 1200             // bytes, below the usual path MTU
-	burstProbes         = 8                // most probes in one interval while members fail in numbers
-	relayLimit          = 256              // probes on behalf of others under way
-	joinTargets         = 3                // most addresses asked in one attempt to join
-	joinBackoff         = time.Second      // first bound of the wait between attempts
-	joinBackoffLimit    = 10 * time.Second // last bound
-	repairObservations  = 3                // peers that must differ before a repair
-	settledAfter        = 30 * time.Second // a register held so long is gossiped without its constant part
-	backlog             = 64               // registers to transmit that count as very many
-	backlogRetransmits  = 5                // how often each is transmitted then
-	minorRetransmits    = 2                // how often what is no news is transmitted
-	syncProbeLimit      = 8                // accusations by a sync that are probed at once
-	syncSuspicionFactor = 4                // times the suspicion timeout, at most, for more than these
-	memberLimit         = 8192             // registers held, against a peer that invents names
-	stallFactor         = 2                // a gap between ticks of this many probe timeouts is a pause
+	maxDatagramBytes       = 1200             // bytes, below the usual path MTU
+	maxProbesPerInterval   = 8                // maximum probes per probe interval while several members are suspect
+	maxRelays              = 256              // maximum probes in progress on behalf of other nodes
+	maxJoinTargets         = 3                // maximum addresses contacted in one join attempt
+	joinBackoff            = time.Second      // base of the exponential backoff between join attempts
+	maxJoinBackoff         = 10 * time.Second // upper bound of that backoff
+	minViewMismatches      = 3                // consecutive view mismatches before a repair
+	compactAfter           = 30 * time.Second // age from which a register is gossiped without its constant part
+	backlogThreshold       = 64               // queued updates above which retransmissions are reduced
+	maxBacklogRetransmits  = 5                // transmissions per update above that threshold
+	lowPriorityRetransmits = 2                // transmissions of an update that most peers have or detect themselves
+	maxSyncProbes          = 8                // accusations in one sync up to which each accused member is probed at once
+	maxSyncSuspicionFactor = 4                // maximum multiple of the suspicion timeout above that number
+	maxMembers             = 8192             // maximum registers, against a peer that invents names
+	pauseFactor            = 2                // a gap between ticks of this many probe timeouts counts as a pause
 )
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -15,48 +15,48 @@
 	"sliphead/internal/wire"
 )
 
-// fleet is a simulated fleet on a virtual clock: one queue of events, so that a
-// seed decides all.
+// fleet is a simulated fleet on a virtual clock. All events go through one queue,
+// so a run is determined by its seed.
 type fleet struct {
-	t         rapid.TB
-	start     time.Time
-	now       time.Time
-	random    *rand.Rand
-	queue     eventQueue
-	count     uint64
-	nodes     []*node
-	byAddress map[string]*node
-	profile   Profile
-	loss      float64
-	duplicate float64
-	delay     time.Duration // greatest delay of a message
-	side      map[int]int   // of a partition, by index of the node
-	broken    [2]int        // two nodes that can't reach each other, while different
-	measure   bool
-	forged    bool // ends the check of what owners said
-	deaths    int  // live members declared dead
-
-	datagramBytes, streamBytes int // sent, when measured
-	changed                    func(observer *node, change Changed)
-	words                      map[word]wire.EndpointState // what owners said
+	t              rapid.TB
+	start          time.Time
+	now            time.Time
+	random         *rand.Rand
+	queue          eventQueue
+	count          uint64
+	nodes          []*node
+	byAddress      map[string]*node
+	profile        Profile
+	loss           float64
+	duplicate      float64
+	delay          time.Duration // upper bound of the message delay
+	partitionSide  map[int]int   // side of a network partition, by node index
+	brokenLink     [2]int        // two nodes that can't reach each other; none if equal
+	measuring      bool
+	skipStateCheck bool // disables the check of endpoint states against their owners
+	falseDeaths    int  // live members declared dead
+
+	datagramBytes, streamBytes int // sent while measuring
+	onChanged                  func(observer *node, change Changed)
+	statesSet                  map[stateKey]wire.EndpointState // as set by their owners
 }
 
-// word names one thing that an owner said of its endpoint.
-type word struct {
+// stateKey identifies one endpoint state that its owner has set.
+type stateKey struct {
 	name     string
 	start    int64
 	sequence uint64
 }
 
 type node struct {
-	index    int
-	machine  *Machine
-	life     int // counts restarts; events of a former life are dropped
-	running  bool
-	frozen   time.Time // zero if not
-	inbox    []wire.Envelope
-	address  string
-	endpoint wire.EndpointState
+	index      int
+	machine    *Machine
+	startCount int // number of starts; events of a former process are dropped
+	running    bool
+	frozenAt   time.Time // zero if not
+	inbox      []wire.Envelope
+	address    string
+	endpoint   wire.EndpointState
 }
 
 type queuedEvent struct {
@@ -88,7 +88,7 @@
 	f := &fleet{
 		t: t, start: start, now: start, random: rand.New(rand.NewPCG(seed, 1)),
 		byAddress: make(map[string]*node), delay: 3 * time.Millisecond,
-		side: make(map[int]int), words: make(map[word]wire.EndpointState),
+		partitionSide: make(map[int]int), statesSet: make(map[stateKey]wire.EndpointState),
 		profile: profile,
 	}
 	for index := range size {
@@ -114,22 +114,22 @@
 	f.now = end
 }
 
-// until runs until the condition holds and returns how long that took.
-func (f *fleet) until(limit time.Duration, what string, condition func() bool) time.Duration {
+// runUntil runs until the condition holds and returns the virtual time taken.
+func (f *fleet) runUntil(limit time.Duration, what string, condition func() bool) time.Duration {
 	begin := f.now
 	for !condition() {
 		if f.now.Sub(begin) >= limit {
-			f.t.Fatalf("after %v of virtual time: not %s", limit, what)
+			f.t.Fatalf("condition not met after %v of virtual time: %s", limit, what)
 		}
 		f.run(10 * time.Millisecond)
 	}
 	return f.now.Sub(begin)
 }
 
-// boot starts a node without memory, its clock off by the given time.
+// boot starts a node without state, its clock off by the given time.
 func (f *fleet) boot(n *node, clock time.Duration) {
-	n.life++
-	n.running, n.frozen, n.inbox = true, time.Time{}, nil
+	n.startCount++
+	n.running, n.frozenAt, n.inbox = true, time.Time{}, nil
 	n.endpoint = wire.EndpointNone
 	f.byAddress[n.address] = n
 	config := DefaultConfig(f.profile)
@@ -143,26 +143,26 @@
 		config.Seeds = append(config.Seeds, seed.address)
 	}
 	n.machine = New(config, f.now)
-	f.record(n)
+	f.recordState(n)
 	digest := "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
-	held := version.Version{Epoch: 1, Revision: 4711, Digest: digest}
-	f.step(n, SetDigests{Active: held, Staged: held})
+	current := version.Version{Epoch: 1, Revision: 4711, Digest: digest}
+	f.step(n, SetDigests{Active: current, Staged: current})
 	f.setEndpoint(n, wire.EndpointReady)
-	f.scheduleTick(n, n.life)
+	f.scheduleTick(n, n.startCount)
 }
 
 func nodeName(index int) string { return fmt.Sprintf("node-%04d", index) }
 
-func (f *fleet) scheduleTick(n *node, life int) {
+func (f *fleet) scheduleTick(n *node, startCount int) {
 	wait := 25*time.Millisecond + time.Duration(f.random.Int64N(int64(25*time.Millisecond)))
 	f.after(wait, func() {
-		if n.life != life || !n.running {
+		if n.startCount != startCount || !n.running {
 			return
 		}
-		if n.frozen.IsZero() {
+		if n.frozenAt.IsZero() {
 			f.step(n, Tick{})
 		}
-		f.scheduleTick(n, life)
+		f.scheduleTick(n, startCount)
 	})
 }
 
@@ -173,14 +173,14 @@
 
 func (f *fleet) kill(n *node) { n.running = false }
 
-func (f *fleet) freeze(n *node) { n.frozen = f.now }
+func (f *fleet) freeze(n *node) { n.frozenAt = f.now }
 
-// thaw lets a frozen node go on: its clock is noticed first, then it reads what
-// its socket kept.
+// thaw resumes a frozen node: it handles the jump of its clock first, then the
+// messages buffered in its socket.
 func (f *fleet) thaw(n *node) {
 	const lease = 2 * time.Second
-	paused := f.now.Sub(n.frozen)
-	n.frozen = time.Time{}
+	paused := f.now.Sub(n.frozenAt)
+	n.frozenAt = time.Time{}
 	if paused >= lease {
 		f.step(n, Resumed{})
 	}
@@ -194,45 +194,46 @@
 
 func (f *fleet) step(n *node, event Event) {
 	effects := n.machine.Step(event, f.now)
-	f.record(n)
+	f.recordState(n)
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case Send:
 			f.transmit(n, effect.Outgoing)
 		case Changed:
-			f.check(n, effect)
+			f.checkChange(n, effect)
 		}
 	}
 }
 
-// record keeps what the owner says, for the oracle.
-func (f *fleet) record(n *node) {
+// recordState stores a node's own endpoint state for checkChange.
+func (f *fleet) recordState(n *node) {
 	self := n.machine.Self()
-	f.words[word{self.Name, self.Start, self.Sequence}] = self.Endpoint
+	f.statesSet[stateKey{self.Name, self.Start, self.Sequence}] = self.Endpoint
 }
 
-// check is the oracle for each change seen by each observer.
-func (f *fleet) check(observer *node, change Changed) {
+// checkChange verifies a change at an observer: registers never move back, endpoint
+// states were set by their owners, and deaths of live members are counted.
+func (f *fleet) checkChange(observer *node, change Changed) {
 	member, before := change.Member, change.Before
 	forward := member.Start > before.Start || (member.Start == before.Start &&
 		member.Incarnation >= before.Incarnation && member.Sequence >= before.Sequence)
 	if !forward {
-		f.t.Fatalf("%s: register went back from %+v to %+v", nodeName(observer.index), before, member)
+		f.t.Fatalf("%s: register moved back from %+v to %+v", nodeName(observer.index), before, member)
 	}
-	said, ok := f.words[word{member.Name, member.Start, member.Sequence}]
-	if !f.forged && (!ok || said != member.Endpoint) {
-		f.t.Fatalf("%s holds what the owner never said: %+v", nodeName(observer.index), member)
+	state, ok := f.statesSet[stateKey{member.Name, member.Start, member.Sequence}]
+	if !f.skipStateCheck && (!ok || state != member.Endpoint) {
+		f.t.Fatalf("%s holds an endpoint state that the owner never set: %+v", nodeName(observer.index), member)
 	}
-	subject := f.named(member.Name)
-	if member.Status == wire.StatusDead && subject.running && subject.frozen.IsZero() {
-		f.deaths++
+	subject := f.nodeByName(member.Name)
+	if member.Status == wire.StatusDead && subject.running && subject.frozenAt.IsZero() {
+		f.falseDeaths++
 	}
-	if f.changed != nil {
-		f.changed(observer, change)
+	if f.onChanged != nil {
+		f.onChanged(observer, change)
 	}
 }
 
-func (f *fleet) named(name string) *node {
+func (f *fleet) nodeByName(name string) *node {
 	var index int
 	_, err := fmt.Sscanf(name, "node-%d", &index)
 	must.NoError(f.t, err)
@@ -240,11 +241,11 @@
 }
 
 func (f *fleet) transmit(from *node, outgoing wire.Outgoing) {
-	if f.measure {
+	if f.measuring {
 		text, err := json.Marshal(outgoing.Message)
 		must.NoError(f.t, err)
 		if outgoing.Datagram {
-			must.Less(f.t, datagramLimit, len(text))
+			must.Less(f.t, maxDatagramBytes, len(text))
 			f.datagramBytes += len(text)
 		} else {
 			f.streamBytes += len(text) + 1
@@ -268,7 +269,7 @@
 	if !ok || !to.running || to.address != outgoing.Address || !f.connected(from.index, to.index) {
 		return
 	}
-	if to.frozen.IsZero() {
+	if to.frozenAt.IsZero() {
 		f.step(to, Received{Message: outgoing.Message})
 		return
 	}
@@ -278,12 +279,12 @@
 }
 
 func (f *fleet) connected(from, to int) bool {
-	apart := f.broken == [2]int{from, to} || f.broken == [2]int{to, from}
-	return f.side[from] == f.side[to] && (from == to || !apart)
+	apart := f.brokenLink == [2]int{from, to} || f.brokenLink == [2]int{to, from}
+	return f.partitionSide[from] == f.partitionSide[to] && (from == to || !apart)
 }
 
-// agreed reports whether all running nodes hold the true fleet.
-func (f *fleet) agreed() bool {
+// converged reports whether all running nodes hold the true state of the fleet.
+func (f *fleet) converged() bool {
 	var hash uint64
 	var running int
 	for _, n := range f.nodes {
@@ -298,19 +299,19 @@
 	}
 	for _, n := range f.nodes {
 		if n.running {
-			return f.holdsTruth(n, running)
+			return f.hasTrueView(n, running)
 		}
 	}
 	return true
 }
 
-func (f *fleet) holdsTruth(observer *node, running int) bool {
+func (f *fleet) hasTrueView(observer *node, running int) bool {
 	live := observer.machine.Live()
 	if len(live) != running {
 		return false
 	}
 	for _, member := range live {
-		subject := f.named(member.Name)
+		subject := f.nodeByName(member.Name)
 		if !subject.running || member.Endpoint != subject.endpoint || member.Status == wire.StatusSuspect {
 			return false
 		}
@@ -320,12 +321,13 @@
 
 // move restarts a node at another address.
 func (f *fleet) move(n *node) {
-	n.address = fmt.Sprintf("10.2.%d.%d:7946", n.life%250, n.index+1)
+	n.address = fmt.Sprintf("10.2.%d.%d:7946", n.startCount%250, n.index+1)
 	f.boot(n, 0)
 }
 
-// giveList gives a node a list of the first machines, right or out of date.
-func (f *fleet) giveList(n *node, count int) {
+// setMachineList gives a node a machine list of the first count nodes, whether or
+// not they run.
+func (f *fleet) setMachineList(n *node, count int) {
 	var machines []ListedMachine
 	for _, listed := range f.nodes[:count] {
 		machines = append(machines, ListedMachine{Name: nodeName(listed.index), Peer: listed.address})
@@ -333,16 +335,17 @@
 	f.step(n, MachineList{Machines: machines})
 }
 
-// endFaults heals the network, wakes who is frozen and gives all the right list.
+// endFaults heals the network, thaws frozen nodes and gives all running nodes the
+// complete machine list.
 func (f *fleet) endFaults() {
 	f.loss, f.duplicate, f.delay = 0, 0, 3*time.Millisecond
-	clear(f.side)
+	clear(f.partitionSide)
 	for _, n := range f.nodes {
-		if n.running && !n.frozen.IsZero() {
+		if n.running && !n.frozenAt.IsZero() {
 			f.thaw(n)
 		}
 		if n.running {
-			f.giveList(n, len(f.nodes))
+			f.setMachineList(n, len(f.nodes))
 		}
 	}
 }
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	fuzzSize   = 9
-	fuzzSeeds  = 200
-	fuzzInput  = 32 << 10         // bytes of one input
-	fuzzSettle = 90 * time.Second // of virtual time, until all agree after the last fault
+	fuzzSize             = 9
+	fuzzSeeds            = 200
+	fuzzInput            = 32 << 10         // bytes of one input
+	fuzzConvergenceLimit = 90 * time.Second // virtual time until convergence after the last fault
 )
 
-// FuzzFleet does random things to a simulated fleet, ends all faults and wants
-// agreement on the truth. The oracle of fleet.check watches each change.
+// FuzzFleet applies random faults and changes to a simulated fleet, ends all faults
+// and requires convergence to the true state. fleet.checkChange verifies each change.
 func FuzzFleet(f *testing.F) {
 	for seed := range uint64(fuzzSeeds) {
 		input := make([]byte, fuzzInput)
@@ -34,14 +34,14 @@
 
 func fuzzFleet(t *rapid.T) {
 	f := newFleet(t, fuzzSize, rapid.Uint64().Draw(t, "seed"), ProfileConvergence)
-	f.until(fuzzSettle, "agreed at the start", f.agreed)
+	f.runUntil(fuzzConvergenceLimit, "converged after the start", f.converged)
 	actions := rapid.IntRange(1, 30).Draw(t, "actions")
 	for range actions {
 		fuzzAction(t, f)
 		f.run(time.Duration(rapid.IntRange(0, 6000).Draw(t, "milliseconds")) * time.Millisecond)
 	}
 	f.endFaults()
-	f.until(fuzzSettle, "agreed after the last fault", f.agreed)
+	f.runUntil(fuzzConvergenceLimit, "converged after the last fault", f.converged)
 }
 
 func fuzzAction(t *rapid.T, f *fleet) {
@@ -49,7 +49,7 @@
 	action := rapid.SampledFrom([]string{
 		"kill", "restart", "move", "freeze", "thaw", "cut", "heal", "lossy", "endpoint", "endpoint", "leave", "list",
 	}).Draw(t, "action")
-	awake := n.running && n.frozen.IsZero()
+	awake := n.running && n.frozenAt.IsZero()
 	switch {
 	case action == "kill":
 		f.kill(n)
@@ -63,9 +63,9 @@
 	case action == "thaw" && n.running && !awake:
 		f.thaw(n)
 	case action == "cut":
-		f.side[n.index] = rapid.IntRange(0, 2).Draw(t, "side")
+		f.partitionSide[n.index] = rapid.IntRange(0, 2).Draw(t, "side")
 	case action == "heal":
-		clear(f.side)
+		clear(f.partitionSide)
 	case action == "lossy":
 		f.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
 		f.duplicate = f.loss
@@ -76,11 +76,11 @@
 	case action == "leave" && awake:
 		f.step(n, Leave{})
 	case action == "list" && awake:
-		f.giveList(n, rapid.IntRange(0, fuzzSize).Draw(t, "listed"))
+		f.setMachineList(n, rapid.IntRange(0, fuzzSize).Draw(t, "listed"))
 	}
 }
 
-// The same verdict on each run.
+// A fixed seed makes each run give the same result.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -4,10 +4,10 @@
 	"sliphead/internal/wire"
 )
 
-// receive handles a message of a peer.
+// receive handles a message from a peer.
 func (m *Machine) receive(message wire.Envelope) {
 	from := message.From
-	if from == "" || from == m.config.Self.Name || len(from) > fieldLimit {
+	if from == "" || from == m.config.Self.Name || len(from) > maxFieldBytes {
 		return
 	}
 	switch {
@@ -27,18 +27,18 @@
 
 func (m *Machine) applyAll(updates []wire.Member) {
 	for _, update := range updates {
-		m.apply(update, spreadWidely)
+		m.apply(update, gossipFull)
 	}
 }
 
-// gossip sends a few random peers what is new, if anything is.
+// gossip sends queued updates to a few random peers when a round is due.
 func (m *Machine) gossip() {
-	if m.rumors.len() == 0 || m.now.Before(m.nextGossip) {
+	if m.gossipQueue.len() == 0 || m.now.Before(m.nextGossip) {
 		return
 	}
 	m.nextGossip = m.now.Add(m.config.GossipInterval)
 	for _, name := range m.randomPeers(m.config.GossipFanout, "") {
-		digests := wire.Digests{View: m.table.view} // the rest would be most of the datagram
+		digests := wire.Digests{View: m.table.viewHash} // version digests would take up most of the datagram
 		updates := m.updatesFor(name, digests, false)
 		if len(updates) == 0 {
 			return
@@ -49,63 +49,64 @@
 	}
 }
 
-// updatesFor chooses the registers for a datagram to a peer, within its size.
-// First come what the peer must know to clear itself, and this node's own
-// register where the peer may lack it; then what was transmitted least.
+// updatesFor chooses the registers for a datagram to a peer, within the size
+// limit: first an accusation of that peer, so that it can refute, and this node's
+// own register if requested or needed; then queued updates, those with the fewest
+// transmissions first.
 func (m *Machine) updatesFor(to string, digests wire.Digests, withSelf bool) []wire.Member {
 	packet := packet{
-		room:  datagramLimit - baseSize(m.config.Self.Name, digests),
-		count: m.config.MaxUpdates,
+		remainingBytes: maxDatagramBytes - baseSize(m.config.Self.Name, digests),
+		remainingCount: m.config.MaxUpdates,
 	}
 	self := m.config.Self.Name
-	if held, ok := m.table.records[to]; ok && isAccused(held.member) {
-		packet.add(held.member)
+	if entry, ok := m.table.records[to]; ok && isAccused(entry.member) {
+		packet.add(entry.member)
 		withSelf = true
 	}
 	if withSelf {
 		packet.add(m.Self())
 	}
-	m.rumors.pick(func(name string) bool {
+	m.gossipQueue.each(func(name string) bool {
 		if name == to || (withSelf && name == self) {
 			return true
 		}
-		return packet.add(m.gossiped(name))
+		return packet.add(m.gossipForm(name))
 	})
 	for _, member := range packet.members {
-		m.rumors.transmitted(member.Name, m.retransmitLimit())
+		m.gossipQueue.recordTransmission(member.Name, m.retransmitLimit())
 	}
 	return packet.members
 }
 
-// gossiped returns a register as it is gossiped: compact when it has been held
-// for long, since all then know its process.
-func (m *Machine) gossiped(name string) wire.Member {
-	held := m.table.records[name]
-	if m.now.Sub(held.learned) < settledAfter {
-		return held.member
+// gossipForm returns the register to gossip for a member: the compact form once it
+// has been stored for compactAfter, because all nodes then have its constant fields.
+func (m *Machine) gossipForm(name string) wire.Member {
+	entry := m.table.records[name]
+	if m.now.Sub(entry.firstSeen) < compactAfter {
+		return entry.member
 	}
-	return compact(held.member)
+	return compact(entry.member)
 }
 
 func isAccused(member wire.Member) bool {
 	return member.Status == wire.StatusSuspect || member.Status == wire.StatusDead
 }
 
-// packet gathers registers up to the size of a datagram.
+// packet collects registers up to the size and count limits of a datagram.
 type packet struct {
-	members []wire.Member
-	room    int
-	count   int
+	members        []wire.Member
+	remainingBytes int
+	remainingCount int
 }
 
-// add takes in the register if there is room and reports whether it did.
+// add appends the register if it fits and reports whether it did.
 func (p *packet) add(member wire.Member) bool {
 	size := memberSize(member)
-	if size > p.room || p.count == 0 {
+	if size > p.remainingBytes || p.remainingCount == 0 {
 		return false
 	}
-	p.room -= size
-	p.count--
+	p.remainingBytes -= size
+	p.remainingCount--
 	p.members = append(p.members, member)
 	return true
 }
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -1,11 +1,13 @@
-// Package membership decides which nodes are members of the fleet and spreads
-// what each says of its worker. It is a failure detector after SWIM (Das,
-// Gupta, Motivala 2002) with suspicion, direct and indirect probes, and
-// refutation by incarnation. A register's owner is its only writer; other nodes
-// may only accuse it. Nothing here needs two nodes to hold the same view.
+// Package membership detects which nodes are live and disseminates the endpoint
+// state of each node's worker. It implements SWIM (Das, Gupta, Motivala 2002)
+// with suspicion, direct and indirect probes, and refutation by incarnation.
 //
-// The machine is pure: it has no clock, does no I/O and starts no goroutine.
-// Its owner calls Step from one goroutine and carries out the effects.
+// The state of a member is a wire.Member, called its register. Only the member
+// itself writes its register; other nodes may only accuse it, that is, mark it as
+// suspect or dead. The protocol is correct while nodes hold different views.
+//
+// Machine is a pure state machine: it reads no clock, does no I/O and starts no
+// goroutine. The caller runs Step from one goroutine and executes the effects.
 package membership
 
 import (
@@ -16,46 +18,47 @@
 
 // Machine is the membership state of one node.
 type Machine struct {
-	config  Config
-	table   *table
-	rumors  *rumors
-	digests wire.Digests
-	probes  probeState
-	join    joinState
-	repair  repairState
-	contact contactState
-
-	lastTick   time.Time
-	nextGossip time.Time
-	nextSweep  time.Time
-	number     uint64 // of the newest probe
-
-	now     time.Time // of the step under way
-	effects []Effect  // of the step under way
+	config      Config
+	table       *table
+	gossipQueue *gossipQueue
+	digests     wire.Digests
+	probes      probeState
+	join        joinState
+	repair      repairState
+	discovery   discoveryState
+
+	lastTick            time.Time
+	nextGossip          time.Time
+	nextTombstoneExpiry time.Time
+	probeNumber         uint64 // of the last probe sent
+
+	now     time.Time // of the current step
+	effects []Effect  // of the current step
 }
 
-// New returns a machine that knows only itself.
+// New returns a machine whose only member is config.Self.
 func New(config Config, now time.Time) *Machine {
 	self := config.Self
 	if self.Status == "" {
 		self.Status = wire.StatusAlive
 	}
 	m := &Machine{
-		config:   config,
-		table:    newTable(self, now),
-		rumors:   newRumors(),
-		lastTick: now,
-		now:      now,
+		config:      config,
+		table:       newTable(self, now),
+		gossipQueue: newGossipQueue(),
+		lastTick:    now,
+		now:         now,
 	}
 	m.probes = newProbeState(m.jittered(config.ProbeInterval))
-	m.join.next = now
-	m.repair.agreed = now
-	m.contact.next = now.Add(m.jittered(config.ReconnectInterval))
-	m.rumors.add(self.Name, 0)
+	m.join.nextAttempt = now
+	m.repair.lastMatch = now
+	m.discovery.nextReconnect = now.Add(m.jittered(config.ReconnectInterval))
+	m.gossipQueue.add(self.Name, 0)
 	return m
 }
 
-// Step handles one event and returns what is to be done, in order.
+// Step handles one event and returns the effects to execute, in order. It is not
+// safe for concurrent use.
 func (m *Machine) Step(event Event, now time.Time) []Effect {
 	m.now = now
 	m.effects = nil
@@ -65,7 +68,7 @@
 	case Received:
 		m.receive(event.Message)
 	case MachineList:
-		m.contact.setList(event.Machines)
+		m.discovery.setList(event.Machines)
 	case SetEndpoint:
 		m.setEndpoint(event.State)
 	case SetDigests:
@@ -81,40 +84,40 @@
 // Self returns the node's own register.
 func (m *Machine) Self() wire.Member { return m.table.records[m.config.Self.Name].member }
 
-// Lookup returns the register of a member, dead ones included while they are
-// remembered.
+// Lookup returns the register of a member. Dead members are found until
+// Config.TombstoneLife has passed.
 func (m *Machine) Lookup(name string) (wire.Member, bool) { return m.table.member(name) }
 
 // Live returns the members that are alive, suspect or leaving, self included,
-// sorted by name. The machine never changes a slice that it has returned, and
-// callers must not either, so it may be kept and shared.
-func (m *Machine) Live() []wire.Member { return m.table.sorted() }
+// sorted by name. The machine never modifies a returned slice, so callers may
+// retain and share it, but must not modify it.
+func (m *Machine) Live() []wire.Member { return m.table.sortedLive() }
 
 // ViewHash returns a hash over the registers of all live members. It does not
-// depend on the order in which they were learned.
-func (m *Machine) ViewHash() uint64 { return m.table.view }
+// depend on the order in which they were received.
+func (m *Machine) ViewHash() uint64 { return m.table.viewHash }
 
 func (m *Machine) tick() {
-	m.absorbStall()
+	m.extendDeadlines()
 	m.expireProbes()
 	m.expireSuspects()
-	m.sweep()
+	m.expireTombstones()
 	m.joinFleet()
 	m.probe()
 	m.reconnect()
 	m.gossip()
 }
 
-// sweep forgets dead members after the life of their tombstone.
-func (m *Machine) sweep() {
-	if m.now.Before(m.nextSweep) {
+// expireTombstones removes members that have been dead for Config.TombstoneLife.
+func (m *Machine) expireTombstones() {
+	if m.now.Before(m.nextTombstoneExpiry) {
 		return
 	}
-	m.nextSweep = m.now.Add(time.Second)
+	m.nextTombstoneExpiry = m.now.Add(time.Second)
 	for _, name := range sortedNames(m.table.dead) {
-		if m.now.Sub(m.table.dead[name].died) >= m.config.TombstoneLife {
-			m.table.forget(name)
-			m.rumors.remove(name)
+		if m.now.Sub(m.table.dead[name].diedAt) >= m.config.TombstoneLife {
+			m.table.remove(name)
+			m.gossipQueue.remove(name)
 		}
 	}
 }
@@ -126,19 +129,19 @@
 	}})
 }
 
-// ownDigests returns what is said of this node's state. A staged version equal
-// to the active one is left out.
+// ownDigests returns this node's digests for a message. A staged version equal to
+// the active one is omitted.
 func (m *Machine) ownDigests() wire.Digests {
 	digests := m.digests
 	if digests.Staged == digests.Active {
 		digests.Staged = wire.Digests{}.Staged
 	}
-	digests.View = m.table.view
+	digests.View = m.table.viewHash
 	digests.Clock = m.now.UnixMilli()
 	return digests
 }
 
-// jittered returns a duration between nothing and the given one.
+// jittered returns a random duration from 0 up to, but not including, the bound.
 func (m *Machine) jittered(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -15,79 +15,80 @@
 	"sliphead/internal/wire"
 )
 
-const agreeLimit = 60 * time.Second
+const convergenceLimit = 60 * time.Second
 
-// agreedFleet returns a fleet whose nodes all know each other.
-func agreedFleet(t *testing.T, size int) *fleet {
+// convergedFleet returns a fleet whose nodes all hold the same, complete view.
+func convergedFleet(t *testing.T, size int) *fleet {
 	f := newFleet(t, size, 1, ProfileConvergence)
-	f.until(agreeLimit, "agreed", f.agreed)
+	f.runUntil(convergenceLimit, "converged", f.converged)
 	f.run(5 * time.Second)
-	f.deaths = 0
+	f.falseDeaths = 0
 	return f
 }
 
-// gossipTo hands a node registers in a peer's name.
-func (f *fleet) gossipTo(n *node, from string, updates ...wire.Member) {
+// injectGossip delivers registers to a node in a gossip message from a given peer.
+func (f *fleet) injectGossip(n *node, from string, updates ...wire.Member) {
 	message := wire.Envelope{From: from, Gossip: &wire.Gossip{Updates: updates}}
 	f.step(n, Received{Message: message})
 }
 
-func TestNoFaultsNoDeaths(t *testing.T) {
+func TestNoFalseDeathsWithoutFaults(t *testing.T) {
 	f := newFleet(t, 24, 1, ProfileConvergence)
-	f.until(agreeLimit, "agreed", f.agreed)
+	f.runUntil(convergenceLimit, "converged", f.converged)
 	f.run(2 * time.Minute)
-	must.True(t, f.agreed())
-	must.Zero(t, f.deaths)
+	must.True(t, f.converged())
+	must.Zero(t, f.falseDeaths)
 }
 
-func TestHalfTheFleetDiesAndReturns(t *testing.T) {
-	f := agreedFleet(t, 24)
+func TestConvergesAfterHalfTheFleetRestarts(t *testing.T) {
+	f := convergedFleet(t, 24)
 	for _, n := range f.nodes[:12] {
 		f.kill(n)
 	}
-	f.until(agreeLimit, "agreed on the deaths", f.agreed)
-	must.Zero(t, f.deaths)
+	f.runUntil(convergenceLimit, "converged on the deaths", f.converged)
+	must.Zero(t, f.falseDeaths)
 	for _, n := range f.nodes[:12] {
 		f.boot(n, 0)
 	}
-	f.until(agreeLimit, "agreed on the return", f.agreed)
+	f.runUntil(convergenceLimit, "converged on the return", f.converged)
 }
 
 func TestAccusedMemberRefutes(t *testing.T) {
-	f := agreedFleet(t, 8)
+	f := convergedFleet(t, 8)
 	accused := f.nodes[3].machine.Self()
 	for _, status := range []wire.Status{wire.StatusSuspect, wire.StatusDead} {
 		accused.Status = status
-		f.gossipTo(f.nodes[0], "node-0001", accused)
-		f.until(2*time.Second, "refuted", f.agreed)
+		f.injectGossip(f.nodes[0], "node-0001", accused)
+		f.runUntil(2*time.Second, "refuted", f.converged)
 		accused = f.nodes[3].machine.Self()
 		must.Eq(t, wire.StatusAlive, accused.Status)
 	}
 	must.Eq(t, 2, accused.Incarnation)
 }
 
-// A register of a process that died may still be on its way.
-func TestTombstoneStopsResurrection(t *testing.T) {
-	f := agreedFleet(t, 8)
-	late := f.nodes[3].machine.Self()
+// Guards against resurrection: a register of a dead process may still be in transit.
+func TestTombstonePreventsResurrection(t *testing.T) {
+	f := convergedFleet(t, 8)
+	stale := f.nodes[3].machine.Self()
 	f.kill(f.nodes[3])
-	f.until(agreeLimit, "agreed on the death", f.agreed)
+	f.runUntil(convergenceLimit, "converged on the death", f.converged)
 	for range 3 {
 		f.run(30 * time.Second)
-		f.gossipTo(f.nodes[0], "node-0001", late)
-		must.True(t, f.agreed())
+		f.injectGossip(f.nodes[0], "node-0001", stale)
+		must.True(t, f.converged())
 	}
-	held, known := f.nodes[0].machine.Lookup(late.Name)
-	must.True(t, known)
-	must.Eq(t, wire.StatusDead, held.Status)
+	entry, found := f.nodes[0].machine.Lookup(stale.Name)
+	must.True(t, found)
+	must.Eq(t, wire.StatusDead, entry.Status)
 
 	f.run(DefaultConfig(ProfileBytes).TombstoneLife + 2*time.Second)
-	_, known = f.nodes[0].machine.Lookup(late.Name)
-	must.False(t, known)
+	_, found = f.nodes[0].machine.Lookup(stale.Name)
+	must.False(t, found)
 }
 
-// The former process may have counted far, and the new one start from nothing.
-func TestRestartReplacesFormerSelf(t *testing.T) {
+// The former process may have reached high counters, while the new one starts at 0
+// and possibly with an earlier Start.
+func TestRestartReplacesFormerRegister(t *testing.T) {
 	restarts := map[string]func(f *fleet, n *node){
 		"same address":    func(f *fleet, n *node) { f.boot(n, 0) },
 		"other address":   func(f *fleet, n *node) { f.move(n) },
@@ -99,7 +100,7 @@
 	}
 	for name, restart := range restarts {
 		t.Run(name, func(t *testing.T) {
-			f := agreedFleet(t, 8)
+			f := convergedFleet(t, 8)
 			former := f.nodes[4]
 			for range 20 {
 				f.setEndpoint(former, wire.EndpointStarting)
@@ -109,70 +110,70 @@
 			f.kill(former)
 			f.run(20 * time.Second)
 			restart(f, former)
-			f.until(agreeLimit, "agreed on the restart", f.agreed)
-			held, _ := f.nodes[0].machine.Lookup(nodeName(4))
-			must.Eq(t, wire.EndpointReady, held.Endpoint)
-			must.Eq(t, former.address, held.Peer)
+			f.runUntil(convergenceLimit, "converged on the restart", f.converged)
+			entry, _ := f.nodes[0].machine.Lookup(nodeName(4))
+			must.Eq(t, wire.EndpointReady, entry.Endpoint)
+			must.Eq(t, former.address, entry.Peer)
 		})
 	}
 }
 
-// Found by FuzzFleet: a process that took over the Start of its former self
-// said under it what that had said otherwise.
-func TestClockWentBackTakesAStartOfItsOwn(t *testing.T) {
-	f := agreedFleet(t, 4)
+// Found by FuzzFleet: a process that took over the Start of its former process wrote
+// registers under it that contradicted those of the former process.
+func TestRestartWithEarlierClockTakesUnusedStart(t *testing.T) {
+	f := convergedFleet(t, 4)
 	n := f.nodes[2]
 	former := n.machine.Self()
 	f.boot(n, -time.Hour)
-	f.gossipTo(n, "node-0001", former)
+	f.injectGossip(n, "node-0001", former)
 	must.Greater(t, former.Start, n.machine.Self().Start)
-	f.until(agreeLimit, "agreed on the restart", f.agreed)
+	f.runUntil(convergenceLimit, "converged on the restart", f.converged)
 }
 
-// The datagrams that answer a probe wait in the socket while the process does
-// not run; its clock moves on first.
-func TestPausedNodeAccusesNobody(t *testing.T) {
+// While a process is paused, acks wait in its socket. On resume its clock jumps
+// before it reads them, which must not count as a probe timeout.
+func TestPausedNodeSuspectsNoMember(t *testing.T) {
 	for _, pause := range []time.Duration{700 * time.Millisecond, 1900 * time.Millisecond, 10 * time.Second, time.Hour} {
-		f := agreedFleet(t, 8)
+		f := convergedFleet(t, 8)
 		n := f.nodes[2]
-		f.until(agreeLimit, "probing", func() bool { return len(n.machine.probes.waiting) > 0 })
+		f.runUntil(convergenceLimit, "probing", func() bool { return len(n.machine.probes.pending) > 0 })
 		f.freeze(n)
 		f.run(pause)
 		accusations := 0
-		f.changed = func(observer *node, change Changed) {
+		f.onChanged = func(observer *node, change Changed) {
 			own := observer == n && change.Member.Name != nodeName(n.index)
 			if own && change.Member.Status == wire.StatusSuspect {
 				accusations++
 			}
 		}
 		f.thaw(n)
-		f.until(agreeLimit, "agreed after the pause", f.agreed)
+		f.runUntil(convergenceLimit, "converged after the pause", f.converged)
 		must.Zero(t, accusations)
 	}
 }
 
-// A node that suspected a member and was then paused must not declare it dead
-// before the refutation that waits in its socket is read.
-func TestPausedNodeReadsRefutationFirst(t *testing.T) {
+// A node that suspected a member before a pause must not declare it dead before it
+// has read the refutation in its socket.
+func TestPausedNodeReadsRefutationBeforeDeclaringDeath(t *testing.T) {
 	for _, pause := range []time.Duration{1900 * time.Millisecond, time.Minute} {
-		f := agreedFleet(t, 8)
+		f := convergedFleet(t, 8)
 		n := f.nodes[2]
 		accused := f.nodes[3].machine.Self()
 		accused.Status = wire.StatusSuspect
-		f.gossipTo(n, "node-0001", accused)
+		f.injectGossip(n, "node-0001", accused)
 		f.freeze(n)
 		f.run(pause)
 		f.thaw(n)
-		must.Zero(t, f.deaths)
+		must.Zero(t, f.falseDeaths)
 	}
 }
 
-func TestResumedNodeDropsItsAccusations(t *testing.T) {
-	f := agreedFleet(t, 8)
+func TestResumedNodeGossipsNoQueuedAccusation(t *testing.T) {
+	f := convergedFleet(t, 8)
 	n := f.nodes[2]
 	accused := f.nodes[3].machine.Self()
 	accused.Status = wire.StatusSuspect
-	f.gossipTo(n, "node-0001", accused)
+	f.injectGossip(n, "node-0001", accused)
 	f.now = f.now.Add(time.Minute)
 	for _, effect := range n.machine.Step(Resumed{}, f.now) {
 		send, ok := effect.(Send)
@@ -182,32 +183,32 @@
 	}
 }
 
-// A member that a peer's whole view holds for dead is asked first.
-func TestSyncedDeathIsVerified(t *testing.T) {
-	f := agreedFleet(t, 8)
+// A member that is dead in a peer's Sync is probed before it is declared dead.
+func TestDeathFromSyncIsProbedFirst(t *testing.T) {
+	f := convergedFleet(t, 8)
 	n, accused := f.nodes[2], f.nodes[3]
 	dead := accused.machine.Self()
 	dead.Status = wire.StatusDead
 	message := wire.Envelope{From: "node-0001", Sync: &wire.Sync{Members: []wire.Member{dead}}}
 	f.step(n, Received{Message: message})
-	f.until(2*time.Second, "refuted", f.agreed)
-	must.Zero(t, f.deaths)
+	f.runUntil(2*time.Second, "refuted", f.converged)
+	must.Zero(t, f.falseDeaths)
 
 	f.kill(accused)
 	dead = accused.machine.Self()
 	dead.Status = wire.StatusDead
 	message.Sync = &wire.Sync{Members: []wire.Member{dead}}
 	f.step(n, Received{Message: message})
-	f.until(5*DefaultConfig(f.profile).ProbeTimeout, "believed", func() bool {
-		held, _ := n.machine.Lookup(dead.Name)
-		return held.Status == wire.StatusDead
+	f.runUntil(5*DefaultConfig(f.profile).ProbeTimeout, "death accepted", func() bool {
+		entry, _ := n.machine.Lookup(dead.Name)
+		return entry.Status == wire.StatusDead
 	})
 }
 
-// Found by BenchmarkFleet half: each repair brought the same deaths, and each
-// time the wait for a refutation began anew.
-func TestManySyncedDeathsAreBelievedInTime(t *testing.T) {
-	f := agreedFleet(t, 16)
+// Found by BenchmarkFleet half: each repair brought the same deaths and restarted
+// the suspicion timeout.
+func TestRepeatedSyncsDontRestartSuspicionTimeout(t *testing.T) {
+	f := convergedFleet(t, 16)
 	var dead []wire.Member
 	for _, n := range f.nodes[4:] {
 		f.kill(n)
@@ -215,7 +216,7 @@
 		member.Status = wire.StatusDead
 		dead = append(dead, member)
 	}
-	f.side[0] = 1 // no gossip helps
+	f.partitionSide[0] = 1 // cut off from gossip
 	message := wire.Envelope{From: nodeName(1), Sync: &wire.Sync{Members: dead}}
 	for range 10 {
 		f.step(f.nodes[0], Received{Message: message})
@@ -224,11 +225,12 @@
 	must.Len(t, 1, f.nodes[0].machine.Live())
 }
 
-// Found by BenchmarkFleet bytes/heal: suspicions by a repair were handed on by the
-// next repair with the short wait of a failed probe, and live members died.
-func TestManySyncedSuspicionsGetALongWait(t *testing.T) {
+// Found by BenchmarkFleet bytes/heal: suspicions adopted in a repair were passed on
+// by the next repair with the short timeout of a failed probe, and live members were
+// declared dead.
+func TestManySuspicionsFromSyncGetLongTimeout(t *testing.T) {
 	f := newFleet(t, 24, 1, ProfileBytes)
-	f.until(agreeLimit, "agreed", f.agreed)
+	f.runUntil(convergenceLimit, "converged", f.converged)
 	var suspects []wire.Member
 	for _, n := range f.nodes[4:16] {
 		member := n.machine.Self()
@@ -236,7 +238,7 @@
 		suspects = append(suspects, member)
 	}
 	observer := f.nodes[0].machine
-	f.side[0] = 1 // no refutation comes
+	f.partitionSide[0] = 1 // cut off from refutations
 	f.step(f.nodes[0], Received{Message: wire.Envelope{From: nodeName(1), Sync: &wire.Sync{Members: suspects}}})
 	live := func() (count int) {
 		for _, member := range suspects {
@@ -247,27 +249,27 @@
 		return count
 	}
 	f.run(observer.suspicionTimeout() + DefaultConfig(f.profile).GossipInterval)
-	must.Eq(t, len(suspects), live(), must.Sprint("sync guard: dead before refutations can have come"))
-	f.run(syncSuspicionFactor * observer.suspicionTimeout())
+	must.Eq(t, len(suspects), live(), must.Sprint("sync guard: members declared dead before their refutations could arrive"))
+	f.run(maxSyncSuspicionFactor * observer.suspicionTimeout())
 	must.Zero(t, live())
 }
 
-func TestIndirectProbesBridgeABrokenLink(t *testing.T) {
-	f := agreedFleet(t, 4)
-	f.broken = [2]int{1, 2}
-	f.changed = func(_ *node, change Changed) {
+func TestIndirectProbesBridgeBrokenLink(t *testing.T) {
+	f := convergedFleet(t, 4)
+	f.brokenLink = [2]int{1, 2}
+	f.onChanged = func(_ *node, change Changed) {
 		must.NotEq(t, wire.StatusSuspect, change.Member.Status)
 	}
 	f.run(time.Minute)
 }
 
-func TestDatagramsStayBelowTheLimit(t *testing.T) {
+func TestDatagramsStayBelowSizeLimit(t *testing.T) {
 	f := newFleet(t, 64, 1, ProfileConvergence)
-	f.measure = true // checks each
-	f.until(agreeLimit, "agreed", f.agreed)
+	f.measuring = true // transmit checks the size of each datagram while measuring
+	f.runUntil(convergenceLimit, "converged", f.converged)
 }
 
-func TestJoinIsTriedAgain(t *testing.T) {
+func TestJoinIsRetriedWithBackoff(t *testing.T) {
 	f := newFleet(t, 4, 1, ProfileConvergence)
 	for _, n := range f.nodes[:3] {
 		f.kill(n)
@@ -285,49 +287,49 @@
 	must.Between(t, 10, attempts, 60)
 }
 
-// After a partition each side's view holds the other side for dead.
-func TestHealEmptiesNoView(t *testing.T) {
-	f := agreedFleet(t, 16)
+// After a partition each side has declared the other side dead.
+func TestHealedPartitionCausesNoFalseDeaths(t *testing.T) {
+	f := convergedFleet(t, 16)
 	for index := range f.nodes {
-		f.side[index] = index % 2
+		f.partitionSide[index] = index % 2
 	}
 	f.run(2 * time.Minute)
 	must.Len(t, 8, f.nodes[0].machine.Live())
-	clear(f.side)
-	f.deaths = 0
-	f.until(2*time.Minute, "agreed after the heal", f.agreed)
-	must.Zero(t, f.deaths)
+	clear(f.partitionSide)
+	f.falseDeaths = 0
+	f.runUntil(2*time.Minute, "converged after the heal", f.converged)
+	must.Zero(t, f.falseDeaths)
 }
 
-func TestForgedRegistersAreOutdoneOrDropped(t *testing.T) {
-	now := agreedFleet(t, 8).now.UnixMilli()
-	latest := now + startSkew.Milliseconds()
+func TestForgedRegistersAreSupersededOrDropped(t *testing.T) {
+	now := convergedFleet(t, 8).now.UnixMilli()
+	latest := now + maxStartSkew.Milliseconds()
 	forgeries := map[string]func(member *wire.Member){
-		"incarnation":          func(member *wire.Member) { member.Incarnation += 1000 },
-		"incarnation at limit": func(member *wire.Member) { member.Incarnation = math.MaxUint64 },
-		"sequence at limit":    func(member *wire.Member) { member.Sequence = math.MaxUint64 },
-		"start":                func(member *wire.Member) { member.Start = now + time.Hour.Milliseconds() },
-		"start at limit":       func(member *wire.Member) { member.Start = latest },
-		"start beyond":         func(member *wire.Member) { member.Start = math.MaxInt64 },
-		"state of same word":   func(member *wire.Member) { member.Endpoint = wire.EndpointStarting },
+		"incarnation":            func(member *wire.Member) { member.Incarnation += 1000 },
+		"incarnation at limit":   func(member *wire.Member) { member.Incarnation = math.MaxUint64 },
+		"sequence at limit":      func(member *wire.Member) { member.Sequence = math.MaxUint64 },
+		"start":                  func(member *wire.Member) { member.Start = now + time.Hour.Milliseconds() },
+		"start at limit":         func(member *wire.Member) { member.Start = latest },
+		"start beyond":           func(member *wire.Member) { member.Start = math.MaxInt64 },
+		"state of same sequence": func(member *wire.Member) { member.Endpoint = wire.EndpointStarting },
 	}
 	for name, forge := range forgeries {
 		t.Run(name, func(t *testing.T) {
-			f := agreedFleet(t, 8)
+			f := convergedFleet(t, 8)
 			forged := f.nodes[3].machine.Self()
 			forged.Status, forged.Endpoint = wire.StatusDead, wire.EndpointGone
 			forge(&forged)
-			f.forged = true
-			f.gossipTo(f.nodes[0], "node-0001", forged)
-			f.until(agreeLimit, "agreed on the truth", f.agreed)
-			held, _ := f.nodes[1].machine.Lookup(forged.Name)
-			must.Eq(t, f.nodes[3].machine.Self(), held)
+			f.skipStateCheck = true
+			f.injectGossip(f.nodes[0], "node-0001", forged)
+			f.runUntil(convergenceLimit, "converged on the truth", f.converged)
+			entry, _ := f.nodes[1].machine.Lookup(forged.Name)
+			must.Eq(t, f.nodes[3].machine.Self(), entry)
 		})
 	}
 }
 
-func TestGarbageChangesNothing(t *testing.T) {
-	f := agreedFleet(t, 4)
+func TestInvalidMessagesChangeNothing(t *testing.T) {
+	f := convergedFleet(t, 4)
 	n := f.nodes[0]
 	before := n.machine.ViewHash()
 	stranger := wire.Member{Name: "x", Peer: "10.0.0.1:1", Status: wire.StatusAlive}
@@ -339,9 +341,9 @@
 		{Name: "x", Peer: "a", Status: wire.StatusDead},
 		{Name: "x", Status: wire.StatusAlive},
 	}
-	f.gossipTo(n, "node-0001", bad...)
-	f.gossipTo(n, nodeName(0), stranger)
-	f.gossipTo(n, "", stranger)
+	f.injectGossip(n, "node-0001", bad...)
+	f.injectGossip(n, nodeName(0), stranger)
+	f.injectGossip(n, "", stranger)
 	messages := []wire.Envelope{
 		{From: "y"},
 		{From: "y", Sync: &wire.Sync{Buckets: make([]uint64, 3), Members: []wire.Member{stranger}}},
@@ -355,74 +357,74 @@
 	must.Len(t, 4, n.machine.Live())
 }
 
-func TestInventedNamesAreBounded(t *testing.T) {
+func TestNumberOfMembersIsBounded(t *testing.T) {
 	machine := newFleet(t, 1, 1, ProfileConvergence).nodes[0].machine
-	for index := range memberLimit + 100 {
+	for index := range maxMembers + 100 {
 		update := wire.Member{Name: "x" + nodeName(index), Peer: "x", Status: wire.StatusAlive}
-		machine.apply(update, spreadNot)
+		machine.apply(update, gossipNone)
 	}
-	must.Len(t, memberLimit, machine.Live())
+	must.Len(t, maxMembers, machine.Live())
 }
 
-// The list names machines that are gone, and none of the seeds is left.
-func TestJoinsByStaleList(t *testing.T) {
-	f := agreedFleet(t, 8)
+// The machine list contains terminated machines, and all seeds are dead.
+func TestJoinsWithStaleMachineList(t *testing.T) {
+	f := convergedFleet(t, 8)
 	for _, n := range f.nodes[:3] {
 		f.kill(n)
 	}
-	f.until(agreeLimit, "agreed on the deaths", f.agreed)
+	f.runUntil(convergenceLimit, "converged on the deaths", f.converged)
 	newcomer := f.nodes[2]
 	f.move(newcomer)
-	f.giveList(newcomer, 5)
-	f.until(agreeLimit, "joined", f.agreed)
+	f.setMachineList(newcomer, 5)
+	f.runUntil(convergenceLimit, "joined", f.converged)
 }
 
-func TestLeavingMemberStaysUntilItStops(t *testing.T) {
-	f := agreedFleet(t, 8)
+func TestLeavingMemberStaysLiveUntilItStops(t *testing.T) {
+	f := convergedFleet(t, 8)
 	n := f.nodes[3]
 	f.setEndpoint(n, wire.EndpointDraining)
 	f.step(n, Leave{})
-	f.until(2*time.Second, "agreed", f.agreed)
-	held, _ := f.nodes[0].machine.Lookup(nodeName(3))
-	must.Eq(t, wire.StatusLeaving, held.Status)
+	f.runUntil(2*time.Second, "converged", f.converged)
+	entry, _ := f.nodes[0].machine.Lookup(nodeName(3))
+	must.Eq(t, wire.StatusLeaving, entry.Status)
 	f.run(time.Minute)
-	must.True(t, f.agreed())
+	must.True(t, f.converged())
 
-	for _, observer := range f.nodes[:3] { // each doubts it once
+	for _, observer := range f.nodes[:3] { // each suspects it once
 		observer.machine.now = f.now
 		observer.machine.suspect(nodeName(3))
 	}
 	f.run(time.Minute)
-	must.Zero(t, f.deaths)
+	must.Zero(t, f.falseDeaths)
 	f.kill(n)
-	f.until(agreeLimit, "agreed on the end", f.agreed)
+	f.runUntil(convergenceLimit, "converged on the end", f.converged)
 }
 
-// A peer can answer only a probe whose sender it knows.
-func TestNewMemberSaysItsRegisterInProbes(t *testing.T) {
+// A peer can acknowledge a probe only if it has the address of the sender.
+func TestNewMemberSendsItsRegisterInProbes(t *testing.T) {
 	f := newFleet(t, 2, 1, ProfileConvergence)
-	f.nodes[0].machine.apply(f.nodes[1].machine.Self(), spreadNot)
-	f.nodes[0].machine.rumors = newRumors()
+	f.nodes[0].machine.apply(f.nodes[1].machine.Self(), gossipNone)
+	f.nodes[0].machine.gossipQueue = newGossipQueue()
 	f.nodes[0].machine.startProbe(nodeName(1))
 	sent := f.nodes[0].machine.effects
 	ping := sent[len(sent)-1].(Send).Message
-	answer := f.nodes[1].machine.Step(Received{Message: ping}, f.now)
-	must.True(t, slices.ContainsFunc(answer, func(effect Effect) bool {
+	replies := f.nodes[1].machine.Step(Received{Message: ping}, f.now)
+	must.True(t, slices.ContainsFunc(replies, func(effect Effect) bool {
 		send, ok := effect.(Send)
 		return ok && send.Message.Ack != nil
 	}))
 }
 
-func TestRepairCarriesOnlyWhatDiffers(t *testing.T) {
-	f := agreedFleet(t, 200)
-	odd := f.nodes[100].machine
-	f.run(settledAfter)
-	odd.table.removePeer(odd.table.records[nodeName(7)])
-	odd.table.view -= odd.table.records[nodeName(7)].hash
-	odd.table.buckets[bucketOf(nodeName(7))] -= odd.table.records[nodeName(7)].hash
-	delete(odd.table.records, nodeName(7))
-	f.measure = true
-	f.until(agreeLimit, "repaired", f.agreed)
+func TestRepairTransfersOnlyDifferingRegisters(t *testing.T) {
+	f := convergedFleet(t, 200)
+	lagging := f.nodes[100].machine
+	f.run(compactAfter)
+	lagging.table.removePeer(lagging.table.records[nodeName(7)])
+	lagging.table.viewHash -= lagging.table.records[nodeName(7)].hash
+	lagging.table.buckets[bucketOf(nodeName(7))] -= lagging.table.records[nodeName(7)].hash
+	delete(lagging.table.records, nodeName(7))
+	f.measuring = true
+	f.runUntil(convergenceLimit, "repaired", f.converged)
 	text, err := json.Marshal(f.nodes[0].machine.Live())
 	must.NoError(t, err)
 	must.Less(t, len(text)/2, f.streamBytes)
@@ -452,7 +454,7 @@
 	}
 }
 
-func TestMergeIsAJoin(t *testing.T) {
+func TestMergeIsASemilatticeJoin(t *testing.T) {
 	register := rapid.Custom(func(t *rapid.T) wire.Member {
 		statuses := []wire.Status{wire.StatusAlive, wire.StatusSuspect, wire.StatusLeaving, wire.StatusDead}
 		states := []wire.EndpointState{wire.EndpointStarting, wire.EndpointReady}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,37 +8,37 @@
 	"sliphead/internal/wire"
 )
 
-// probeState holds the probes under way and the order of those to come.
+// probeState holds the pending probes and the order of the next ones.
 type probeState struct {
-	order   []string // live members when last shuffled, and those met since
-	next    int      // index in order
-	due     time.Time
-	offset  time.Duration // random delay of the first probe
-	waiting []pendingProbe
-	relays  map[uint64]relay
+	order        []string // live peers at the last shuffle, and those inserted since
+	next         int      // index in order
+	nextAt       time.Time
+	initialDelay time.Duration // random delay of the first probe after the first tick
+	pending      []pendingProbe
+	relays       map[uint64]relay
 }
 
-// pendingProbe is a probe of this node's own.
+// pendingProbe is a probe that this node started and that has no ack yet.
 type pendingProbe struct {
-	number   uint64
-	target   string
-	indirect time.Time // when helpers are asked, zero once done
-	deadline time.Time
+	number     uint64
+	target     string
+	indirectAt time.Time // when indirect probes are sent, zero once they have been
+	deadline   time.Time
 }
 
-// relay is a probe on behalf of another node.
+// relay is an indirect probe in progress on behalf of another node.
 type relay struct {
 	origin   string
-	number   uint64 // the origin's
+	number   uint64 // of the probe at the origin
 	target   string
 	deadline time.Time
 }
 
-func newProbeState(offset time.Duration) probeState {
-	return probeState{offset: offset, relays: make(map[uint64]relay)}
+func newProbeState(initialDelay time.Duration) probeState {
+	return probeState{initialDelay: initialDelay, relays: make(map[uint64]relay)}
 }
 
-// insert puts a new member at a random place of the round.
+// insert adds a new member at a random position of the current round.
 func (p *probeState) insert(name string, random *rand.Rand) {
 	index := random.IntN(len(p.order) + 1)
 	p.order = slices.Insert(p.order, index, name)
@@ -47,31 +47,32 @@
 	}
 }
 
-// probe sends the probes that are due: one an interval, more while members
-// fail in numbers, so that a mass failure is noticed within few rounds.
+// probe sends a probe when one is due: one per interval, and up to
+// maxProbesPerInterval while there are suspects, so that a mass failure is detected
+// within a few rounds.
 func (m *Machine) probe() {
-	if m.probes.due.IsZero() {
-		m.probes.due = m.now.Add(m.probes.offset)
+	if m.probes.nextAt.IsZero() {
+		m.probes.nextAt = m.now.Add(m.probes.initialDelay)
 	}
-	if m.now.Before(m.probes.due) {
+	if m.now.Before(m.probes.nextAt) {
 		return
 	}
-	rate := min(1+len(m.table.suspects), burstProbes)
-	m.probes.due = m.now.Add(m.config.ProbeInterval / time.Duration(rate))
+	rate := min(1+len(m.table.suspects), maxProbesPerInterval)
+	m.probes.nextAt = m.now.Add(m.config.ProbeInterval / time.Duration(rate))
 	if target, ok := m.nextTarget(); ok {
 		m.startProbe(target)
 	}
 }
 
-// nextTarget takes the next live member of the round. Suspects, whose time runs
-// already, are passed over while there are members not yet suspected.
+// nextTarget returns the next live member of the round. Suspects are skipped while
+// there are other members to probe, because their suspicion timeout already runs.
 func (m *Machine) nextTarget() (string, bool) {
 	for _, suspected := range [...]bool{false, false, true} {
 		for m.probes.next < len(m.probes.order) {
 			name := m.probes.order[m.probes.next]
 			m.probes.next++
 			_, suspect := m.table.suspects[name]
-			if m.table.isLive(name) && suspect == suspected && !m.probes.isWaitingFor(name) {
+			if m.table.isLive(name) && suspect == suspected && !m.probes.isProbing(name) {
 				return name, true
 			}
 		}
@@ -89,19 +90,19 @@
 	})
 }
 
-func (p *probeState) isWaitingFor(name string) bool {
-	return slices.ContainsFunc(p.waiting, func(pending pendingProbe) bool { return pending.target == name })
+func (p *probeState) isProbing(name string) bool {
+	return slices.ContainsFunc(p.pending, func(pending pendingProbe) bool { return pending.target == name })
 }
 
 func (m *Machine) startProbe(target string) {
-	m.number++
-	m.probes.waiting = append(m.probes.waiting, pendingProbe{
-		number:   m.number,
-		target:   target,
-		indirect: m.now.Add(m.config.ProbeTimeout),
-		deadline: m.now.Add(3 * m.config.ProbeTimeout),
+	m.probeNumber++
+	m.probes.pending = append(m.probes.pending, pendingProbe{
+		number:     m.probeNumber,
+		target:     target,
+		indirectAt: m.now.Add(m.config.ProbeTimeout),
+		deadline:   m.now.Add(3 * m.config.ProbeTimeout),
 	})
-	m.ping(target, m.number)
+	m.ping(target, m.probeNumber)
 }
 
 func (m *Machine) ping(target string, number uint64) {
@@ -113,37 +114,38 @@
 	})
 }
 
-// mayBeUnknown reports whether peers may lack this node's register, so that
-// they could not answer its probes.
+// mayBeUnknown reports whether peers may lack this node's register. They could not
+// acknowledge its probes then.
 func (m *Machine) mayBeUnknown() bool {
-	young := m.now.Sub(m.table.records[m.config.Self.Name].learned) < settledAfter
-	return young || m.repair.differing > 0
+	recentlyStarted := m.now.Sub(m.table.records[m.config.Self.Name].firstSeen) < compactAfter
+	return recentlyStarted || m.repair.mismatches > 0
 }
 
-// expireProbes asks helpers for probes without an answer, and accuses the
-// target when they bring none either.
+// expireProbes starts indirect probes for pending probes without an ack, and
+// suspects the target when no ack has arrived by the probe's deadline.
 func (m *Machine) expireProbes() {
-	kept := m.probes.waiting[:0]
+	remaining := m.probes.pending[:0]
 	var failed []string
-	for _, pending := range m.probes.waiting {
+	for _, pending := range m.probes.pending {
 		if !m.now.Before(pending.deadline) {
 			failed = append(failed, pending.target)
 			continue
 		}
-		if !pending.indirect.IsZero() && !m.now.Before(pending.indirect) {
-			pending.indirect = time.Time{}
+		if !pending.indirectAt.IsZero() && !m.now.Before(pending.indirectAt) {
+			pending.indirectAt = time.Time{}
 			m.probeIndirectly(pending)
 		}
-		kept = append(kept, pending)
+		remaining = append(remaining, pending)
 	}
-	m.probes.waiting = kept
+	m.probes.pending = remaining
 	for _, name := range failed {
 		m.suspect(name)
 	}
 	m.expireRelays()
 }
 
-// probeIndirectly asks helpers and pings once more, against a lost datagram.
+// probeIndirectly asks other peers to probe the target, and pings it once more
+// itself in case the first datagram was lost.
 func (m *Machine) probeIndirectly(pending pendingProbe) {
 	target, ok := m.table.member(pending.target)
 	if !ok {
@@ -165,9 +167,10 @@
 	}
 }
 
-// randomPeers returns up to count distinct live peers but the one given. Ones
-// not suspect are preferred: while many fail, half of what is sent would be lost.
-func (m *Machine) randomPeers(count int, but string) []string {
+// randomPeers returns up to count distinct live peers other than the excluded one.
+// It prefers peers that are not suspect: when half the fleet fails, half of the
+// messages would otherwise be lost.
+func (m *Machine) randomPeers(count int, excluded string) []string {
 	const rounds = 4
 	var chosen []string
 	for attempt := range rounds * count {
@@ -177,7 +180,7 @@
 		name := m.table.peers[m.config.Random.IntN(len(m.table.peers))]
 		_, suspect := m.table.suspects[name]
 		early := attempt < (rounds-1)*count
-		if name != but && !(suspect && early) && !slices.Contains(chosen, name) {
+		if name != excluded && !(suspect && early) && !slices.Contains(chosen, name) {
 			chosen = append(chosen, name)
 		}
 	}
@@ -191,77 +194,77 @@
 		return
 	}
 	digests := m.ownDigests()
-	unlike := ping.Digests.View != digests.View
+	viewsDiffer := ping.Digests.View != digests.View
 	m.send(from, address, true, wire.Envelope{Ack: &wire.Ack{
 		Number:  ping.Number,
 		About:   m.config.Self.Name,
 		Digests: digests,
-		Updates: m.updatesFor(from, digests, unlike),
+		Updates: m.updatesFor(from, digests, viewsDiffer),
 	}})
-	m.noteDigests(from, ping.Digests)
+	m.reportDigests(from, ping.Digests)
 }
 
-// addressOf returns where to answer a message: the address in the sender's own
-// register where the message brings it, else the one held, "" if there is none.
-// They differ when the register brought is not believed, as after a restart at
-// another address with a clock that went back.
+// addressOf returns the address to reply to: the one in the sender's own register
+// if the message contains it, else the stored one, "" if there is none. They differ
+// when the received register loses the merge, for example after a restart at
+// another address with a clock that was set back.
 func (m *Machine) addressOf(from string, updates []wire.Member) string {
 	for _, update := range updates {
 		if update.Name == from && !isCompact(update) {
 			return update.Peer
 		}
 	}
-	held, _ := m.table.member(from)
-	return held.Peer
+	entry, _ := m.table.member(from)
+	return entry.Peer
 }
 
 func (m *Machine) receivePingReq(from string, request wire.PingReq) {
 	m.applyAll(request.Updates)
-	m.apply(request.Target, spreadWidely)
+	m.apply(request.Target, gossipFull)
 	target, known := m.table.member(request.Target.Name)
-	if !known || len(m.probes.relays) >= relayLimit || target.Name == m.config.Self.Name {
+	if !known || len(m.probes.relays) >= maxRelays || target.Name == m.config.Self.Name {
 		return
 	}
-	m.number++
-	m.probes.relays[m.number] = relay{
+	m.probeNumber++
+	m.probes.relays[m.probeNumber] = relay{
 		origin:   from,
 		number:   request.Number,
 		target:   target.Name,
 		deadline: m.now.Add(3 * m.config.ProbeTimeout),
 	}
-	m.ping(target.Name, m.number)
+	m.ping(target.Name, m.probeNumber)
 }
 
 func (m *Machine) receiveAck(from string, ack wire.Ack) {
 	m.applyAll(ack.Updates)
 	if relayed, ok := m.probes.relays[ack.Number]; ok && relayed.target == from && ack.About == from {
 		delete(m.probes.relays, ack.Number)
-		m.passOn(relayed, ack)
+		m.forwardAck(relayed, ack)
 	}
-	m.probes.waiting = slices.DeleteFunc(m.probes.waiting, func(pending pendingProbe) bool {
+	m.probes.pending = slices.DeleteFunc(m.probes.pending, func(pending pendingProbe) bool {
 		return pending.number == ack.Number && pending.target == ack.About
 	})
 	m.endLocalSuspicion(ack.About)
 	if from == ack.About {
-		m.noteDigests(from, ack.Digests)
+		m.reportDigests(from, ack.Digests)
 	}
 }
 
-// passOn gives a relayed answer to the node that asked for it.
-func (m *Machine) passOn(relayed relay, ack wire.Ack) {
+// forwardAck sends the ack of an indirect probe to the node that requested it.
+func (m *Machine) forwardAck(relayed relay, ack wire.Ack) {
 	origin, ok := m.table.member(relayed.origin)
 	if !ok {
 		return
 	}
-	updates := m.accusedOrNone(ack)
+	updates := m.targetRegister(ack)
 	m.send(relayed.origin, origin.Peer, true, wire.Envelope{Ack: &wire.Ack{
 		Number: relayed.number, About: ack.About, Digests: ack.Digests, Updates: updates,
 	}})
 }
 
-// accusedOrNone returns the answering member's own register where its answer
-// brought it, so that a refutation reaches the accuser at once.
-func (m *Machine) accusedOrNone(ack wire.Ack) []wire.Member {
+// targetRegister returns the probed member's own register if its ack contains it,
+// else nothing. A refutation thus reaches the accuser at once.
+func (m *Machine) targetRegister(ack wire.Ack) []wire.Member {
 	for _, update := range ack.Updates {
 		if update.Name == ack.About {
 			return []wire.Member{update}
@@ -270,11 +273,11 @@
 	return nil
 }
 
-// endLocalSuspicion clears the doubt about a leaving member that answered.
+// endLocalSuspicion ends the suspicion of a leaving member that sent an ack.
 func (m *Machine) endLocalSuspicion(name string) {
-	held, ok := m.table.suspects[name]
-	if ok && held.member.Status == wire.StatusLeaving {
-		held.suspected = time.Time{}
+	entry, ok := m.table.suspects[name]
+	if ok && entry.member.Status == wire.StatusLeaving {
+		entry.suspicionDeadline = time.Time{}
 		delete(m.table.suspects, name)
 	}
 }
--- a/internal/membership/register.go
+++ b/internal/membership/register.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// startSkew bounds how far Start may lie ahead of the receiver's clock. What
-	// a peer forges of a member, however high its incarnation or sequence, the
-	// member outdoes by a greater Start; so only Start must not reach its end.
-	startSkew = 24 * time.Hour
-	// startSpread bounds the random part of a Start that outdoes a foreign one, in
-	// milliseconds.
-	startSpread = 1000
-	// fieldLimit bounds each text of a register, in bytes.
-	fieldLimit = 128
+	// maxStartSkew bounds how far Start may lie ahead of the receiver's clock. A
+	// member supersedes forged registers, whatever their incarnation or sequence,
+	// by a greater Start. So Start is the one field that must not reach its maximum.
+	maxStartSkew = 24 * time.Hour
+	// startJitter bounds the random part, in milliseconds, of a Start that
+	// supersedes one that this process did not set.
+	startJitter = 1000
+	// maxFieldBytes bounds each text field of a register.
+	maxFieldBytes = 128
 )
 
-// statusRank orders what is said of a member under one incarnation.
+// statusRank orders statuses of one incarnation: the higher rank wins in merge.
+// It is 0 for an unknown status.
 func statusRank(status wire.Status) int {
 	switch status {
 	case wire.StatusAlive:
@@ -44,8 +45,9 @@
 	return false
 }
 
-// plausible reports whether a register received may be looked at further.
-func plausible(member wire.Member, now time.Time) bool {
+// validRegister reports whether a received register is well formed: known status
+// and endpoint state, bounded fields and a Start that is not too far ahead of now.
+func validRegister(member wire.Member, now time.Time) bool {
 	if member.Name == "" || statusRank(member.Status) == 0 || !validEndpoint(member.Endpoint) {
 		return false
 	}
@@ -54,15 +56,15 @@
 		member.Worker, member.Peer, member.Inbound,
 	}
 	for _, text := range texts {
-		if len(text) > fieldLimit {
+		if len(text) > maxFieldBytes {
 			return false
 		}
 	}
-	return member.Start >= 0 && member.Start <= now.Add(startSkew).UnixMilli()
+	return member.Start >= 0 && member.Start <= now.Add(maxStartSkew).UnixMilli()
 }
 
-// compact returns the register without the part that never changes while the
-// process lives. A receiver that does not know the process drops it.
+// compact returns the register without the fields that are constant for the
+// lifetime of the process. A receiver that lacks the full register drops it.
 func compact(member wire.Member) wire.Member {
 	return wire.Member{
 		Name: member.Name, Start: member.Start, Incarnation: member.Incarnation,
@@ -72,9 +74,9 @@
 
 func isCompact(member wire.Member) bool { return member.Peer == "" }
 
-// withIdentity returns the update with the constant part of the held register.
-func withIdentity(update, held wire.Member) wire.Member {
-	result := held
+// withIdentity returns the update with the constant fields of the current register.
+func withIdentity(update, current wire.Member) wire.Member {
+	result := current
 	result.Start = update.Start
 	result.Incarnation = update.Incarnation
 	result.Status = update.Status
@@ -84,42 +86,43 @@
 }
 
 // merge joins two registers of one name. It is idempotent, and commutative for
-// registers that honest nodes produce. Under one Start the constant part stays
-// as it was first heard.
-func merge(held, update wire.Member) wire.Member {
-	if update.Start != held.Start {
-		if update.Start > held.Start && !isCompact(update) {
+// registers that correct nodes produce. For the same Start, the constant fields
+// keep the values that were received first.
+func merge(current, update wire.Member) wire.Member {
+	if update.Start != current.Start {
+		if update.Start > current.Start && !isCompact(update) {
 			return update
 		}
-		return held
+		return current
 	}
-	update = withIdentity(update, held)
-	result := held
-	if update.Incarnation > held.Incarnation {
+	update = withIdentity(update, current)
+	result := current
+	if update.Incarnation > current.Incarnation {
 		result = update
 	}
-	if update.Incarnation == held.Incarnation && statusRank(update.Status) > statusRank(held.Status) {
+	if update.Incarnation == current.Incarnation && statusRank(update.Status) > statusRank(current.Status) {
 		result.Status = update.Status
 	}
-	endpoint := laterEndpoint(held, update)
+	endpoint := newerEndpoint(current, update)
 	result.Endpoint, result.Sequence = endpoint.Endpoint, endpoint.Sequence
 	return result
 }
 
-// laterEndpoint returns the register whose endpoint part wins. Two states under
-// one sequence come only from two processes of one name; any fixed order does.
-func laterEndpoint(held, update wire.Member) wire.Member {
-	if update.Sequence > held.Sequence {
+// newerEndpoint returns the register with the newer endpoint state. Two states
+// with the same sequence can only come from two processes of one name, where any
+// deterministic order is correct.
+func newerEndpoint(current, update wire.Member) wire.Member {
+	if update.Sequence > current.Sequence {
 		return update
 	}
-	if update.Sequence == held.Sequence && update.Endpoint > held.Endpoint {
+	if update.Sequence == current.Sequence && update.Endpoint > current.Endpoint {
 		return update
 	}
-	return held
+	return current
 }
 
-// registerHash returns the hash of the changing part of a register; 0 for a
-// dead one, so that nodes that have forgotten it agree with those that have not.
+// registerHash returns the hash of the mutable fields of a register. It is 0 for a
+// dead member, so that nodes agree whether or not they still retain its tombstone.
 func registerHash(member wire.Member) uint64 {
 	if member.Status == wire.StatusDead {
 		return 0
--- a/internal/membership/size.go
+++ b/internal/membership/size.go
@@ -5,17 +5,17 @@
 	"sliphead/internal/wire"
 )
 
-// Upper bounds of the encoded size, in bytes, without the texts.
+// Upper bounds of the encoded size in bytes, excluding texts and numbers of registers.
 const (
-	memberOverhead   = 135 // names of the fields
+	memberOverhead   = 135 // field names of a full register
 	compactOverhead  = 75
 	envelopeOverhead = 70 // envelope, kind and number
 	digestsOverhead  = 60 // view and clock
-	versionOverhead  = 90 // two numbers of full length
-	escapedLength    = 6  // of one character written as \u003c
+	versionOverhead  = 90 // including two numbers of maximum length
+	escapedBytes     = 6  // of one character written as \u003c
 )
 
-// textSize returns the most bytes that the text takes in JSON.
+// textSize returns an upper bound of the bytes that the text takes in JSON.
 func textSize(text string) int {
 	size := len(text)
 	for index := range len(text) {
@@ -26,13 +26,13 @@
 			plain = false
 		}
 		if !plain {
-			size += escapedLength - 1
+			size += escapedBytes - 1
 		}
 	}
 	return size
 }
 
-// numberSize returns the number of digits.
+// numberSize returns the number of decimal digits.
 func numberSize(number uint64) int {
 	const base = 10
 	size := 1
@@ -59,9 +59,9 @@
 // registers.
 func baseSize(from string, digests wire.Digests) int {
 	size := envelopeOverhead + digestsOverhead + 2*textSize(from)
-	for _, held := range [...]version.Version{digests.Active, digests.Staged} {
-		if !held.IsZero() {
-			size += versionOverhead + textSize(held.Digest)
+	for _, advertised := range [...]version.Version{digests.Active, digests.Staged} {
+		if !advertised.IsZero() {
+			size += versionOverhead + textSize(advertised.Digest)
 		}
 	}
 	return size
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -7,23 +7,24 @@
 	"sliphead/internal/wire"
 )
 
-// joinState is the way into the fleet.
+// joinState tracks the attempts to join the fleet.
 type joinState struct {
-	joined   bool
-	attempts int
-	next     time.Time
+	joined      bool
+	attempts    int
+	nextAttempt time.Time
 }
 
-// repairState notices that this node's view differs from its peers'.
+// repairState tracks whether this node's view differs from its peers' views.
 type repairState struct {
-	agreed    time.Time // when a peer's hash last equalled ours
-	differing int       // peers in a row whose hash did not
-	next      time.Time // no repair before
+	lastMatch   time.Time // when a peer's view hash last equaled this node's
+	mismatches  int       // consecutive view hashes that did not
+	nextAllowed time.Time // earliest time of the next repair
 }
 
-// joinFleet asks seeds and listed machines for all registers until one answers.
+// joinFleet requests all registers from random seeds and listed machines until one
+// of them has sent registers. Attempts are spaced by exponential backoff with jitter.
 func (m *Machine) joinFleet() {
-	if m.join.joined || m.now.Before(m.join.next) {
+	if m.join.joined || m.now.Before(m.join.nextAttempt) {
 		return
 	}
 	addresses := m.addresses()
@@ -31,19 +32,19 @@
 		return
 	}
 	m.join.attempts++
-	for range min(m.join.attempts, joinTargets, len(addresses)) {
+	for range min(m.join.attempts, maxJoinTargets, len(addresses)) {
 		index := m.config.Random.IntN(len(addresses))
 		m.send("", addresses[index], false, wire.Envelope{Sync: &wire.Sync{
 			Members: []wire.Member{m.Self()}, Digests: m.ownDigests(), Reply: true,
 		}})
 		addresses = slices.Delete(addresses, index, index+1)
 	}
-	bound := min(joinBackoff<<min(m.join.attempts, 8), joinBackoffLimit)
-	m.join.next = m.now.Add(bound/4 + m.jittered(bound))
+	bound := min(joinBackoff<<min(m.join.attempts, 8), maxJoinBackoff)
+	m.join.nextAttempt = m.now.Add(bound/4 + m.jittered(bound))
 }
 
-// noteDigests passes a peer's digests on.
-func (m *Machine) noteDigests(from string, digests wire.Digests) {
+// reportDigests passes a peer's digests to the caller of Step and compares views.
+func (m *Machine) reportDigests(from string, digests wire.Digests) {
 	if digests.Staged.IsZero() {
 		digests.Staged = digests.Active
 	}
@@ -51,39 +52,41 @@
 	m.compareView(from, digests.View)
 }
 
-// compareView notices that a peer's view differs from ours, and for how long.
+// compareView records whether a peer's view hash equals this node's, and starts a
+// repair with that peer when one is due.
 func (m *Machine) compareView(from string, view uint64) {
-	if view == m.table.view {
-		m.repair.agreed, m.repair.differing = m.now, 0
+	if view == m.table.viewHash {
+		m.repair.lastMatch, m.repair.mismatches = m.now, 0
 		return
 	}
-	m.repair.differing++
+	m.repair.mismatches++
 	if m.repairDue() {
 		m.startRepair(from)
 	}
 }
 
-// repairDue reports whether this node's view has differed from its peers' for
-// long: longer while there is much left that gossip would mend.
+// repairDue reports whether this node's view has differed from its peers' views
+// for RepairAfter. The time is doubled while many updates are queued, because
+// gossip may still remove the difference.
 func (m *Machine) repairDue() bool {
-	least := m.config.RepairAfter
-	if m.rumors.len() > backlog {
-		least *= 2
+	minDuration := m.config.RepairAfter
+	if m.gossipQueue.len() > backlogThreshold {
+		minDuration *= 2
 	}
-	lasting := m.now.Sub(m.repair.agreed) >= least
-	return lasting && m.repair.differing >= repairObservations && !m.now.Before(m.repair.next)
+	overdue := m.now.Sub(m.repair.lastMatch) >= minDuration
+	return overdue && m.repair.mismatches >= minViewMismatches && !m.now.Before(m.repair.nextAllowed)
 }
 
-// startRepair sends the peer the hashes of this node's buckets. It answers with
-// the registers of those that differ, and gets back what is newer here. A whole
-// exchange would take the size of the fleet; this takes that of the difference.
+// startRepair sends the peer this node's bucket hashes. The peer replies with the
+// registers in the buckets that differ, and this node then sends those that are
+// newer here. The traffic grows with the difference instead of the fleet size.
 func (m *Machine) startRepair(peer string) {
 	target, ok := m.table.member(peer)
 	if !ok {
 		return
 	}
-	m.repair.next = m.now.Add(m.config.RepairInterval)
-	m.repair.agreed, m.repair.differing = m.now, 0
+	m.repair.nextAllowed = m.now.Add(m.config.RepairInterval)
+	m.repair.lastMatch, m.repair.mismatches = m.now, 0
 	m.send(peer, target.Peer, false, wire.Envelope{Sync: &wire.Sync{
 		Members: []wire.Member{m.Self()},
 		Digests: m.ownDigests(),
@@ -94,29 +97,29 @@
 
 func (m *Machine) bucketHashes() []uint64 { return slices.Clone(m.table.buckets[:]) }
 
-// receiveSync handles the four forms of a Sync: the request of a node that
-// joins (Reply), the request of a repair (Reply, Buckets), its answer
-// (Buckets), and the registers that end either.
+// receiveSync handles the four forms of a Sync: a join request (Reply), a repair
+// request (Reply, Buckets), the reply to a repair request (Buckets), and the plain
+// list of registers that completes a join or a repair.
 func (m *Machine) receiveSync(from string, sync wire.Sync) {
 	if len(sync.Buckets) != 0 && len(sync.Buckets) != bucketCount {
 		return
 	}
-	m.noteDigests(from, sync.Digests)
+	m.reportDigests(from, sync.Digests)
 	compare := len(sync.Buckets) == bucketCount
 	var marked [bucketCount]bool
 	if compare {
-		marked = m.table.differing(sync.Buckets)
+		marked = m.table.differingBuckets(sync.Buckets)
 	}
 	buckets := m.bucketHashes()
 	var newer []wire.Member
 	if compare && !sync.Reply {
 		newer = missingFrom(sync.Members, m.table.inBuckets(marked))
 	}
-	spread := spreadLittle
+	mode := gossipReduced
 	if !m.join.joined && !sync.Reply {
-		spread = spreadNot
+		mode = gossipNone
 	}
-	m.applyTable(sync.Members, spread)
+	m.applySync(sync.Members, mode)
 	address := m.addressOf(from, sync.Members)
 	switch {
 	case sync.Reply && compare:
@@ -131,17 +134,18 @@
 	}
 }
 
-// allFor returns the registers of all live members, and the receiver's own if
-// it is held for dead, so that it can refute.
+// allFor returns the registers of all live members, and the receiver's own if it
+// is declared dead, so that it can refute.
 func (m *Machine) allFor(receiver string) []wire.Member {
-	members := slices.Clone(m.table.sorted())
-	if held, ok := m.table.dead[receiver]; ok {
-		members = append(members, held.member)
+	members := slices.Clone(m.table.sortedLive())
+	if entry, ok := m.table.dead[receiver]; ok {
+		members = append(members, entry.member)
 	}
 	return members
 }
 
-// missingFrom returns those of ours that the peer lacks or has older.
+// missingFrom returns those of this node's registers (ours) that the peer lacks or
+// has in an older form.
 func missingFrom(peers, ours []wire.Member) []wire.Member {
 	theirs := make(map[string]wire.Member, len(peers))
 	for _, member := range peers {
@@ -161,79 +165,82 @@
 	m.send(to, address, false, wire.Envelope{Sync: &sync})
 }
 
-// applyTable joins the registers of a whole view. A member dead there but live
-// here becomes a suspect only: after a partition each side holds the other's
-// members for dead, and taking that over would empty both sides' views until
-// every member had refuted. A few accused members are probed at once. Many get a
-// long wait, also when they are but suspects there, because many refutations
-// take long to spread.
-func (m *Machine) applyTable(members []wire.Member, spread spread) {
+// applySync merges the registers of a Sync. A member that is dead at the sender but
+// live here only becomes suspect: after a partition each side has declared the
+// other's members dead, and adopting that would empty both views until every member
+// had refuted. Up to maxSyncProbes accused members are probed at once. If there are
+// more, suspects included, they get a longer suspicion timeout, because many
+// refutations take long to spread.
+func (m *Machine) applySync(members []wire.Member, mode gossipMode) {
 	var accused []wire.Member
 	for _, member := range members {
 		if isAccused(member) && m.table.isLive(member.Name) {
 			accused = append(accused, member)
 			continue
 		}
-		m.apply(member, spread)
+		m.apply(member, mode)
 	}
 	for _, member := range accused {
-		if len(accused) > syncProbeLimit {
+		if len(accused) > maxSyncProbes {
 			m.suspectFor(member, m.syncSuspicionTimeout(member.Status, len(accused)))
 			continue
 		}
-		m.suspectAndProbe(member, spread)
+		m.suspectAndProbe(member, mode)
 	}
 }
 
-// suspectAndProbe takes over one of few accusations. A death is not passed on, and gets a
-// short wait: the time for a refutation has passed elsewhere.
-func (m *Machine) suspectAndProbe(member wire.Member, spread spread) {
+// suspectAndProbe adopts an accusation that came with few others, and probes the
+// member. A death is not gossiped, and gets a short suspicion timeout, because the
+// time to refute has already passed at the sender.
+func (m *Machine) suspectAndProbe(member wire.Member, mode gossipMode) {
 	if member.Status == wire.StatusDead {
 		member.Status = wire.StatusSuspect
-		m.apply(member, spreadNot)
-		m.verify(member.Name)
+		m.apply(member, gossipNone)
+		m.probeSuspect(member.Name)
 		return
 	}
-	m.apply(member, spread)
-	if _, suspected := m.table.suspects[member.Name]; suspected && !m.probes.isWaitingFor(member.Name) {
+	m.apply(member, mode)
+	if _, suspected := m.table.suspects[member.Name]; suspected && !m.probes.isProbing(member.Name) {
 		m.startProbe(member.Name)
 	}
 }
 
-// suspectFor takes over one of many accusations and does not gossip it. The wait
-// runs once: the same accusations come again with each repair.
-func (m *Machine) suspectFor(member wire.Member, wait time.Duration) {
+// suspectFor adopts an accusation that came with many others, with the given
+// suspicion timeout, and does not gossip it. The timeout of a member that is already
+// suspect is not restarted, because each repair repeats the same accusations.
+func (m *Machine) suspectFor(member wire.Member, timeout time.Duration) {
 	member.Status = wire.StatusSuspect
 	if _, suspected := m.table.suspects[member.Name]; suspected {
 		return
 	}
-	m.apply(member, spreadNot)
-	if held, ok := m.table.suspects[member.Name]; ok {
-		held.suspected = m.now.Add(wait)
+	m.apply(member, gossipNone)
+	if entry, ok := m.table.suspects[member.Name]; ok {
+		entry.suspicionDeadline = m.now.Add(timeout)
 	}
 }
 
-// syncSuspicionTimeout returns how long each of many accused members may take to refute.
-// For suspects it is the usual wait and the time in which gossip transmits so
-// many registers.
+// syncSuspicionTimeout returns the time to refute for each of many accused members.
+// For members that are suspect at the sender it is the usual timeout plus the time
+// that gossip needs to transmit that many registers.
 func (m *Machine) syncSuspicionTimeout(status wire.Status, accused int) time.Duration {
-	longest := syncSuspicionFactor * m.suspicionTimeout()
+	maxTimeout := maxSyncSuspicionFactor * m.suspicionTimeout()
 	if status == wire.StatusDead {
-		return longest
+		return maxTimeout
 	}
-	rounds := accused * backlogRetransmits / max(1, m.config.GossipFanout*m.config.MaxUpdates)
-	return min(longest, m.suspicionTimeout()+time.Duration(rounds+1)*m.config.GossipInterval)
+	rounds := accused * maxBacklogRetransmits / max(1, m.config.GossipFanout*m.config.MaxUpdates)
+	return min(maxTimeout, m.suspicionTimeout()+time.Duration(rounds+1)*m.config.GossipInterval)
 }
 
-// verify probes a suspect and ends its wait just after the probe would fail.
-func (m *Machine) verify(name string) {
-	held, ok := m.table.suspects[name]
-	if !ok || m.probes.isWaitingFor(name) {
+// probeSuspect probes a suspect and shortens its suspicion timeout so that it ends
+// just after the probe would fail.
+func (m *Machine) probeSuspect(name string) {
+	entry, ok := m.table.suspects[name]
+	if !ok || m.probes.isProbing(name) {
 		return
 	}
 	m.startProbe(name)
 	end := m.now.Add(4 * m.config.ProbeTimeout)
-	if end.Before(held.suspected) {
-		held.suspected = end
+	if end.Before(entry.suspicionDeadline) {
+		entry.suspicionDeadline = end
 	}
 }
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -7,90 +7,90 @@
 	"sliphead/internal/wire"
 )
 
-// spread is how often a changed register is to be gossiped from here.
-type spread int
+// gossipMode is how often this node gossips a changed register.
+type gossipMode int
 
 const (
-	spreadWidely spread = iota // news
-	spreadLittle               // what most others know or will find out themselves
-	spreadNot                  // what the others gossip themselves
+	gossipFull    gossipMode = iota // up to the retransmit limit
+	gossipReduced                   // for changes that most peers have or detect themselves
+	gossipNone                      // for changes that other nodes gossip
 )
 
-// apply joins a register received into the table.
-func (m *Machine) apply(update wire.Member, spread spread) {
-	if !plausible(update, m.now) {
+// apply merges a received register into the table.
+func (m *Machine) apply(update wire.Member, mode gossipMode) {
+	if !validRegister(update, m.now) {
 		return
 	}
 	if update.Name == m.config.Self.Name {
 		m.refute(update)
 		return
 	}
-	held, ok := m.table.records[update.Name]
+	entry, ok := m.table.records[update.Name]
 	if !ok {
-		m.admit(update, spread)
+		m.addMember(update, mode)
 		return
 	}
-	merged := merge(held.member, update)
-	if merged != held.member {
-		m.change(merged, spread)
+	merged := merge(entry.member, update)
+	if merged != entry.member {
+		m.store(merged, mode)
 		return
 	}
 	if sameContent(merged, update) {
-		m.rumors.transmitted(update.Name, m.retransmitLimit()) // the sender knows it: one less is needed
+		m.gossipQueue.recordTransmission(update.Name, m.retransmitLimit()) // the sender has it already: one transmission less is needed
 	}
 }
 
-// sameContent reports whether the update says just what the register does.
-func sameContent(held, update wire.Member) bool { return compact(held) == compact(update) }
+// sameContent reports whether the mutable fields of both registers are equal.
+func sameContent(a, b wire.Member) bool { return compact(a) == compact(b) }
 
-// admit takes in a member not known. A dead one is not remembered: that would
-// hand tombstones from node to node for ever.
-func (m *Machine) admit(update wire.Member, spread spread) {
-	if update.Status == wire.StatusDead || isCompact(update) || len(m.table.records) >= memberLimit {
+// addMember stores a new member, up to maxMembers. A dead one is ignored, because
+// nodes would otherwise pass its tombstone to each other forever.
+func (m *Machine) addMember(update wire.Member, mode gossipMode) {
+	if update.Status == wire.StatusDead || isCompact(update) || len(m.table.records) >= maxMembers {
 		return
 	}
-	m.change(update, spread)
+	m.store(update, mode)
 	m.probes.insert(update.Name, m.config.Random)
 }
 
-// change stores a register, tells the owner of the machine and queues it for
-// gossip.
-func (m *Machine) change(member wire.Member, spread spread) {
+// store stores a changed register, reports it to the caller of Step and queues it
+// for gossip according to the mode.
+func (m *Machine) store(member wire.Member, mode gossipMode) {
 	before, _ := m.table.member(member.Name)
 	wasLive := m.table.isLive(member.Name)
-	held := m.table.put(member, m.now)
-	m.watchSuspicion(held, before)
+	entry := m.table.put(member, m.now)
+	m.updateSuspicion(entry, before)
 	if !wasLive && m.table.isLive(member.Name) && before.Name != "" {
 		m.probes.insert(member.Name, m.config.Random)
 	}
-	switch spread {
-	case spreadWidely:
-		m.rumors.add(member.Name, 0)
-	case spreadLittle:
-		if m.rumors.len() <= backlog {
-			m.rumors.add(member.Name, max(0, m.retransmitLimit()-minorRetransmits))
+	switch mode {
+	case gossipFull:
+		m.gossipQueue.add(member.Name, 0)
+	case gossipReduced:
+		if m.gossipQueue.len() <= backlogThreshold {
+			m.gossipQueue.add(member.Name, max(0, m.retransmitLimit()-lowPriorityRetransmits))
 		}
 	}
 	m.effects = append(m.effects, Changed{Member: member, Before: before})
 }
 
-// retransmitLimit returns how often each node transmits a register: λ·log2(n). While very
-// many change it is less, and the few that are missed are left to repair, which
-// then takes fewer bytes.
+// retransmitLimit returns how often this node transmits a changed register: about
+// λ·log2(n). While many updates are queued it is less, and repair transfers the few
+// registers that peers miss, which then takes fewer bytes.
 func (m *Machine) retransmitLimit() int {
 	size := float64(m.table.size())
 	limit := int(math.Ceil(m.config.Retransmit*math.Log2(size+1))) + 1
-	if m.rumors.len() > backlog {
-		return min(limit, backlogRetransmits)
+	if m.gossipQueue.len() > backlogThreshold {
+		return min(limit, maxBacklogRetransmits)
 	}
 	return limit
 }
 
-// refute answers what a peer says of this node where that would win over its
-// own register. An accusation is refuted by a greater incarnation. Claims that
-// this process never made, left over from a former process whose clock was
-// ahead, or forged, are superseded by a greater Start, under which nothing else has
-// been said: the part at random keeps two such restarts in a row apart.
+// refute reacts to a received register of this node that would win over its own.
+// An accusation is refuted by a greater incarnation. A register that this process
+// never wrote, either forged or left by a former process whose clock was ahead, is
+// superseded by a greater Start that no register has used yet. Its random part
+// keeps the values of two such restarts in a row distinct.
 func (m *Machine) refute(update wire.Member) {
 	self := m.Self()
 	if isCompact(update) {
@@ -98,18 +98,18 @@
 	}
 	foreign := update.Start > self.Start
 	if update.Start == self.Start {
-		foreign = update.Incarnation > self.Incarnation || laterEndpoint(self, update) != self
+		foreign = update.Incarnation > self.Incarnation || newerEndpoint(self, update) != self
 	}
 	switch {
 	case foreign:
-		self.Start = update.Start + 1 + m.config.Random.Int64N(startSpread)
+		self.Start = update.Start + 1 + m.config.Random.Int64N(startJitter)
 		self.Incarnation = 0
 	case merge(self, update) != self:
 		self.Incarnation++
 	default:
 		return
 	}
-	m.change(self, spreadWidely)
+	m.store(self, gossipFull)
 }
 
 func (m *Machine) setEndpoint(state wire.EndpointState) {
@@ -119,7 +119,7 @@
 	}
 	self.Endpoint = state
 	self.Sequence++
-	m.change(self, spreadWidely)
+	m.store(self, gossipFull)
 }
 
 func (m *Machine) leave() {
@@ -129,36 +129,37 @@
 	}
 	self.Status = wire.StatusLeaving
 	self.Incarnation++
-	m.change(self, spreadWidely)
+	m.store(self, gossipFull)
 }
 
-// watchSuspicion starts or ends the wait for a refutation as the register says.
-func (m *Machine) watchSuspicion(held *record, before wire.Member) {
-	name := held.member.Name
+// updateSuspicion starts or ends the suspicion timeout after a register changed.
+func (m *Machine) updateSuspicion(entry *record, before wire.Member) {
+	name := entry.member.Name
 	if name == m.config.Self.Name {
 		return
 	}
-	if held.member.Status == wire.StatusSuspect {
-		m.awaitRefutation(held)
+	if entry.member.Status == wire.StatusSuspect {
+		m.startSuspicion(entry)
 		return
 	}
-	refuted := held.member.Start > before.Start || held.member.Incarnation > before.Incarnation
-	if refuted || held.member.Status != wire.StatusLeaving {
-		held.suspected = time.Time{}
+	refuted := entry.member.Start > before.Start || entry.member.Incarnation > before.Incarnation
+	if refuted || entry.member.Status != wire.StatusLeaving {
+		entry.suspicionDeadline = time.Time{}
 		delete(m.table.suspects, name)
 	}
 }
 
-// awaitRefutation starts the wait unless it runs.
-func (m *Machine) awaitRefutation(held *record) {
-	if !held.suspected.IsZero() {
+// startSuspicion starts the suspicion timeout unless it is already running.
+func (m *Machine) startSuspicion(entry *record) {
+	if !entry.suspicionDeadline.IsZero() {
 		return
 	}
-	held.suspected = m.now.Add(m.suspicionTimeout())
-	m.table.suspects[held.member.Name] = held
+	entry.suspicionDeadline = m.now.Add(m.suspicionTimeout())
+	m.table.suspects[entry.member.Name] = entry
 }
 
-// suspicionTimeout grows with the time that gossip needs, up to twice.
+// suspicionTimeout returns Config.SuspicionTimeout, scaled by the number of rounds
+// that gossip needs at the fleet size, up to a factor of two.
 func (m *Machine) suspicionTimeout() time.Duration {
 	const roundsInSmallFleet, growthLimit = 5, 2
 	growth := math.Log2(float64(m.table.size()+1)) / roundsInSmallFleet
@@ -166,38 +167,40 @@
 	return time.Duration(float64(m.config.SuspicionTimeout) * growth)
 }
 
-// expireSuspects declares those dead that have not refuted in time.
+// expireSuspects declares the suspects dead that have not refuted in time.
 func (m *Machine) expireSuspects() {
 	if len(m.table.suspects) == 0 {
 		return
 	}
 	for _, name := range sortedNames(m.table.suspects) {
-		held := m.table.suspects[name]
-		if m.now.Before(held.suspected) {
+		entry := m.table.suspects[name]
+		if m.now.Before(entry.suspicionDeadline) {
 			continue
 		}
-		member := held.member
+		member := entry.member
 		member.Status = wire.StatusDead
-		m.change(member, spreadLittle) // each peer's own wait ends too
+		m.store(member, gossipReduced) // each peer's own timeout ends as well
 	}
 }
 
-// suspect accuses a member that did not answer a probe.
+// suspect marks a member as suspect that did not acknowledge a probe.
 func (m *Machine) suspect(name string) {
-	held, ok := m.table.records[name]
-	if !ok || !held.died.IsZero() {
+	entry, ok := m.table.records[name]
+	if !ok || !entry.diedAt.IsZero() {
 		return
 	}
-	if held.member.Status == wire.StatusLeaving {
-		m.awaitRefutation(held) // its own register outranks the accusation, which stays here
-		m.startProbe(name)      // until the wait ends
+	if entry.member.Status == wire.StatusLeaving {
+		// The leaving status outranks suspect in merge, so the suspicion stays local
+		// until the timeout ends.
+		m.startSuspicion(entry)
+		m.startProbe(name)
 		return
 	}
-	if held.member.Status == wire.StatusAlive {
-		member := held.member
+	if entry.member.Status == wire.StatusAlive {
+		member := entry.member
 		member.Status = wire.StatusSuspect
-		m.change(member, spreadWidely)
-		m.number++
-		m.ping(name, m.number) // tells it, so that it can refute
+		m.store(member, gossipFull)
+		m.probeNumber++
+		m.ping(name, m.probeNumber) // carries the accusation, so that the member can refute it
 	}
 }
