--- a/internal/control/others_test.go
+++ b/internal/control/alternative_peers_test.go
@@ -8,7 +8,7 @@
 	"sliphead/internal/wire"
 )
 
-func TestOthersAreAFewLiveMembersOfTheOwnZoneFirst(t *testing.T) {
+func TestAlternativePeersAreLiveMembersOfOwnZoneFirst(t *testing.T) {
 	member := func(name, zone string, status wire.Status) wire.Member {
 		return wire.Member{Name: name, Zone: zone, Status: status}
 	}
@@ -18,27 +18,27 @@
 		member("g", "far", wire.StatusAlive), member("h", "far", wire.StatusAlive),
 	}
 	var names []string
-	for _, other := range chooseOthers(live, live[3]) {
+	for _, other := range chooseAlternatives(live, live[3]) {
 		names = append(names, other.Name)
 	}
 	must.Eq(t, []string{"f", "a", "e", "g", "h"}, names)
-	must.SliceEmpty(t, chooseOthers(live[:1], live[0]))
+	must.SliceEmpty(t, chooseAlternatives(live[:1], live[0]))
 }
 
-// TestBusyPeerNamesWhomToAsk gives a loop members that it does not know.
-func TestBusyPeerNamesWhomToAsk(t *testing.T) {
-	p := newReady(t)
+// A busy peer proposes members that the loop does not have; the loop must contact them.
+func TestMembersProposedByBusyPeerAreContacted(t *testing.T) {
+	p := newReadyLoop(t)
 	must.Eq(t, []wire.Member{p.peer}, p.loop.Others())
 	p.loop.handle(p.fromPeer(wire.Envelope{Busy: &wire.Busy{Others: []wire.Member{{Name: "other", Peer: "other:1"}, p.peer}}}), p.now)
 	for range 20 * 60 { // a minute
 		p.tick()
 	}
-	must.SliceContains(t, p.out.addresses, "other:1")
+	must.SliceContains(t, p.sender.addresses, "other:1")
 }
 
-func TestMessagesThatFindTheQueueFullAreCounted(t *testing.T) {
-	p := newReady(t)
-	for range inputQueue {
+func TestMessagesDroppedByFullQueueAreCounted(t *testing.T) {
+	p := newReadyLoop(t)
+	for range inputQueueSize {
 		must.True(t, p.loop.Deliver(p.fromPeer(wire.Envelope{})))
 	}
 	must.False(t, p.loop.Deliver(p.fromPeer(wire.Envelope{})))
--- a/internal/control/clock.go
+++ b/internal/control/clock.go
@@ -9,16 +9,16 @@
 
 // Bounds of the clock estimate.
 const (
-	clockTolerance = time.Second // a clock that is off by less is left alone
-	clockSamples   = 31          // peers whose offsets are kept
-	clockQuorum    = 3           // peers needed before the own clock is doubted
+	clockTolerance  = time.Second // offsets up to this are not corrected
+	maxClockSamples = 31          // number of peers whose offsets are stored
+	minClockSamples = 3           // minimum number of peers for a correction
 
-	correctionReportSpacing = 10 * time.Second // between two lines of the log
+	minClockReportInterval = 10 * time.Second // minimum time between two log entries
 )
 
-// clockOffset estimates how far the own wall clock is off against the median of
-// the peers' clocks, so that a schedule opens at the same moment everywhere.
-// The median of many peers outvotes a few clocks that are wrong.
+// clockOffset estimates the offset of this node's wall clock from the median of the
+// peers' clocks, so that a schedule opens at the same time on all nodes. A few wrong
+// clocks do not affect the median of many peers.
 type clockOffset struct {
 	byPeer map[string]time.Duration
 	order  []string // oldest first
@@ -28,25 +28,25 @@
 	return &clockOffset{byPeer: make(map[string]time.Duration)}
 }
 
-// observe notes a peer's clock, in Unix milliseconds, as seen at now.
+// observe records a peer's clock, in Unix milliseconds, received at now.
 func (c *clockOffset) observe(peer string, clock int64, now time.Time) {
 	if clock == 0 {
 		return
 	}
-	if _, known := c.byPeer[peer]; !known {
+	if _, found := c.byPeer[peer]; !found {
 		c.order = append(c.order, peer)
 	}
 	c.byPeer[peer] = time.UnixMilli(clock).Sub(now)
-	if len(c.order) > clockSamples {
+	if len(c.order) > maxClockSamples {
 		delete(c.byPeer, c.order[0])
 		c.order = c.order[1:]
 	}
 }
 
-// correction returns what to add to the own clock: zero while it agrees with
-// the median of the peers within the tolerance.
+// correction returns the duration to add to this node's clock. It is zero while the
+// clock is within clockTolerance of the peers' median, or there are too few peers.
 func (c *clockOffset) correction() time.Duration {
-	if len(c.byPeer) < clockQuorum {
+	if len(c.byPeer) < minClockSamples {
 		return 0
 	}
 	offsets := make([]time.Duration, 0, len(c.byPeer))
@@ -61,37 +61,37 @@
 	return median
 }
 
-// correctionReport is the correction that was logged last.
+// correctionReport is the last logged correction.
 type correctionReport struct {
 	correction time.Duration
 	at         time.Time
 }
 
-// due reports whether a correction is news: it begins, ends or has changed by
-// more than the tolerance. One that hovers at the tolerance is reported seldom.
+// due reports whether to log a correction: it has started, ended or changed by more
+// than clockTolerance, and minClockReportInterval has passed. The interval limits
+// the log entries for an offset that fluctuates around the tolerance.
 func (r *correctionReport) due(correction time.Duration, now time.Time) bool {
 	change := correction - r.correction
-	edge := (correction == 0) != (r.correction == 0)
-	if !edge && change.Abs() <= clockTolerance {
+	startsOrEnds := (correction == 0) != (r.correction == 0)
+	if !startsOrEnds && change.Abs() <= clockTolerance {
 		return false
 	}
-	return r.at.IsZero() || now.Sub(r.at) >= correctionReportSpacing
+	return r.at.IsZero() || now.Sub(r.at) >= minClockReportInterval
 }
 
-// reportClock logs a correction of the clock that is news.
+// reportClock logs the clock correction when a report is due.
 func (l *Loop) reportClock(now time.Time) {
 	correction := l.clock.correction()
-	if !l.reported.due(correction, now) {
+	if !l.lastClockReport.due(correction, now) {
 		return
 	}
-	l.reported = correctionReport{correction: correction, at: now}
+	l.lastClockReport = correctionReport{correction: correction, at: now}
 	logging.Event(l.config.Logger, "clock.corrected", logging.Fields{"offset_ms": correction.Milliseconds()})
 }
 
-// longestGap returns the time between two readings of the clock, by the
-// monotonic clock or the wall clock, whichever moved further. The monotonic
-// clock stands still while a machine is suspended; the wall clock may be set
-// back.
+// longestGap returns the time between two clock readings, by the monotonic or the
+// wall clock, whichever advanced further. The monotonic clock stops while the
+// machine is suspended, and the wall clock may be set back.
 func longestGap(before, after time.Time) time.Duration {
 	monotonic := after.Sub(before)
 	wall := after.Round(0).Sub(before.Round(0))
--- a/internal/control/clock_test.go
+++ b/internal/control/clock_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestClockCorrectionFollowsTheMedianOfPeers(t *testing.T) {
+func TestClockCorrectionFollowsMedianOfPeers(t *testing.T) {
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	offset := newClockOffset()
 	must.Eq(t, 0, offset.correction())
@@ -22,7 +22,7 @@
 	must.Eq(t, 90*time.Second, offset.correction())
 }
 
-func TestClockWithinToleranceIsLeftAlone(t *testing.T) {
+func TestClockWithinToleranceIsNotCorrected(t *testing.T) {
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	offset := newClockOffset()
 	for i := range 5 {
@@ -31,21 +31,21 @@
 	must.Eq(t, 0, offset.correction())
 }
 
-func TestClockKeepsABoundedNumberOfPeers(t *testing.T) {
+func TestNumberOfClockSamplesIsBounded(t *testing.T) {
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	offset := newClockOffset()
-	for i := range 10 * clockSamples {
+	for i := range 10 * maxClockSamples {
 		offset.observe(fmt.Sprintf("peer-%d", i), now.UnixMilli(), now)
 	}
-	must.MapLen(t, clockSamples, offset.byPeer)
+	must.MapLen(t, maxClockSamples, offset.byPeer)
 }
 
-func TestClockCorrectionIsLoggedWhenItIsNews(t *testing.T) {
-	p, events := newReady(t), memory.New()
+func TestClockCorrectionIsLoggedOncePerChange(t *testing.T) {
+	p, events := newReadyLoop(t), memory.New()
 	p.loop.config.Logger = &log.Logger{Handler: events}
 	for _, offset := range []time.Duration{0, time.Minute, time.Minute + time.Second/2, time.Hour, 0} {
-		p.now = p.now.Add(correctionReportSpacing)
-		for peer := range clockSamples {
+		p.now = p.now.Add(minClockReportInterval)
+		for peer := range maxClockSamples {
 			p.loop.clock.observe(fmt.Sprint(peer), p.now.Add(offset).UnixMilli(), p.now)
 		}
 		p.loop.handle(tick{}, p.now)
--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -7,71 +7,76 @@
 	"sliphead/internal/wire"
 )
 
-// confirmRetry is the wait before a paused node asks other peers. It is longer
-// than a suspicion lasts, which asking anew prolongs.
-const confirmRetry = 4 * time.Second
+// confirmRetryInterval is the time after which a resumed node requests the state of
+// its peers again. It is longer than a suspicion timeout, because each retry
+// restarts those timeouts.
+const confirmRetryInterval = 4 * time.Second
 
-// confirmation is what a node that was paused waits for before it serves: the
-// report of one peer, sent after the pause, that its endpoint states and version
-// are not behind. What was queued during the pause proves nothing.
+// confirmation tracks the confirmation that a node needs after a pause before it
+// serves: one peer must report, after the pause, that the node's endpoint states and
+// version are not stale. Messages queued during the pause don't count, because they
+// may be stale.
 type confirmation struct {
-	pending  bool
-	first    uint64           // number of the first ping sent after the pause, 0 before it
-	answered map[string]int64 // clock of each peer when it first answered such a ping
-	retryAt  time.Time
+	pending         bool
+	firstPing       uint64           // number of the first ping after the pause, 0 until it is sent
+	clockAtFirstAck map[string]int64 // by peer: its clock in its first ack of such a ping
+	retryAt         time.Time
 }
 
 func (c *confirmation) begin(now time.Time) {
-	*c = confirmation{pending: true, answered: make(map[string]int64), retryAt: now.Add(confirmRetry)}
+	*c = confirmation{pending: true, clockAtFirstAck: make(map[string]int64), retryAt: now.Add(confirmRetryInterval)}
 }
 
-// sent notes a ping. Later pings have greater numbers.
-func (c *confirmation) sent(ping *wire.Ping) {
-	if c.pending && c.first == 0 && ping != nil {
-		c.first = ping.Number
+// recordPing records the first ping after the pause. Later pings have greater numbers.
+func (c *confirmation) recordPing(ping *wire.Ping) {
+	if c.pending && c.firstPing == 0 && ping != nil {
+		c.firstPing = ping.Number
 	}
 }
 
-// answers reports whether an Ack was sent after the pause, and notes the peer's
-// clock.
-func (c *confirmation) answers(from string, ack *wire.Ack) bool {
-	if c.first == 0 || ack.Number < c.first || ack.About != from {
+// recordAck reports whether an Ack was sent after the pause. If so, it stores the
+// peer's clock from its first such Ack.
+func (c *confirmation) recordAck(from string, ack *wire.Ack) bool {
+	if c.firstPing == 0 || ack.Number < c.firstPing || ack.About != from {
 		return false
 	}
-	if _, known := c.answered[from]; !known {
-		c.answered[from] = ack.Digests.Clock
+	if _, found := c.clockAtFirstAck[from]; !found {
+		c.clockAtFirstAck[from] = ack.Digests.Clock
 	}
 	return true
 }
 
-// complements reports whether a Sync gave the registers that differ, and was
-// sent after the pause by the clock of its sender.
-func (c *confirmation) complements(from string, sync *wire.Sync) bool {
-	since, known := c.answered[from]
-	return known && !sync.Reply && len(sync.Buckets) > 0 && sync.Digests.Clock >= since
+// isCurrentRepair reports whether a Sync is the reply to a repair request, that is,
+// contains the registers that differ, and was sent after the pause by its sender's
+// clock.
+func (c *confirmation) isCurrentRepair(from string, sync *wire.Sync) bool {
+	since, found := c.clockAtFirstAck[from]
+	return found && !sync.Reply && len(sync.Buckets) > 0 && sync.Digests.Clock >= since
 }
 
-// confirm takes what a peer said, once membership has taken it in. An answer to
-// a ping confirms when the peer's view equals ours.
+// confirm checks whether a message, already handled by membership, confirms this
+// node's state. An Ack does so if the peer's view equals this node's, a Sync if it is
+// the reply to a repair request.
 func (l *Loop) confirm(message wire.Envelope, now time.Time) {
 	if !l.confirmation.pending {
 		return
 	}
 	switch {
 	case message.Ack != nil:
-		fresh := l.confirmation.answers(message.From, message.Ack)
-		if fresh && message.Ack.Digests.View == l.membership.ViewHash() {
-			l.confirmWith(message.Ack.Digests, now)
+		afterPause := l.confirmation.recordAck(message.From, message.Ack)
+		if afterPause && message.Ack.Digests.View == l.membership.ViewHash() {
+			l.finishConfirmation(message.Ack.Digests, now)
 		}
 	case message.Sync != nil:
-		if l.confirmation.complements(message.From, message.Sync) {
-			l.confirmWith(message.Sync.Digests, now)
+		if l.confirmation.isCurrentRepair(message.From, message.Sync) {
+			l.finishConfirmation(message.Sync.Digests, now)
 		}
 	}
 }
 
-// confirmWith ends the wait unless the peer has a newer version in force.
-func (l *Loop) confirmWith(digests wire.Digests, now time.Time) {
+// finishConfirmation ends the wait for a confirmation unless the peer's active
+// version is newer than this node's.
+func (l *Loop) finishConfirmation(digests wire.Digests, now time.Time) {
 	if digests.Active.After(l.distribution.Active().Version()) {
 		return
 	}
@@ -79,9 +84,10 @@
 	l.updateReadiness(now)
 }
 
-// confirmInTime asks again after a while. A node whose peers are all dead has
-// nobody to ask; distribution then waits for the source.
-func (l *Loop) confirmInTime(now time.Time) {
+// retryConfirmation requests the peers' state again after confirmRetryInterval. If
+// all peers are dead by then, it ends the wait without a confirmation; distribution
+// then waits for the source.
+func (l *Loop) retryConfirmation(now time.Time) {
 	if !l.confirmation.pending {
 		return
 	}
@@ -91,7 +97,7 @@
 		return
 	}
 	if !now.Before(l.confirmation.retryAt) {
-		l.confirmation.retryAt = now.Add(confirmRetry)
+		l.confirmation.retryAt = now.Add(confirmRetryInterval)
 		l.stepMembership(membership.Resumed{}, now)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package control owns a node's control state. One goroutine feeds the pure
-// state machines of membership and distribution, carries out their effects and
-// publishes immutable views for traffic. Nothing else writes that state.
+// Package control runs a node's control loop. One goroutine passes events to the
+// pure state machines of membership and distribution, executes their effects and
+// publishes immutable views for traffic. It is the only writer of control state.
 package control
 
 import (
@@ -19,67 +19,69 @@
 	"sliphead/internal/wire"
 )
 
-// Sizes and periods of the loop.
+// Limits of the loop.
 const (
-	inputQueue     = 1024                   // events that may wait for the loop
-	publishSpacing = 100 * time.Millisecond // views are resolved no more often than this
+	inputQueueSize     = 1024                   // events queued for the loop
+	minPublishInterval = 100 * time.Millisecond // minimum time between two views
 )
 
-// Sender is what the loop needs of the transport.
+// Sender is the part of the transport that the loop uses.
 type Sender interface {
 	SendEncoded(address string, line []byte)
 	SendDatagram(address string, envelope wire.Envelope)
 }
 
-// Claims is what the loop needs of the claim keeper.
+// Claims is the part of the claim keeper that the loop uses.
 type Claims interface {
 	Deliver(message wire.Envelope)
 	Configure(configuration claim.Configure)
 }
 
-// Config is what a loop is made of. All fields are required but OnReader.
+// Config holds the settings and dependencies of a Loop. All fields except OnReader
+// are required.
 type Config struct {
 	Membership   membership.Config
 	Distribution distribution.Config
 	Holder       *snapshot.Holder
 	Sender       Sender
 	Claims       Claims
-	Lease        time.Duration // how long a view may be used without a tick
+	Lease        time.Duration // how long a view may be used after the loop last handled an event
 	Tick         time.Duration
-	Overlap      time.Duration // how long a closed window still admits at the last hop
-	LocalWorker  string        // declared name of the worker beside this node, "" at an edge
+	Overlap      time.Duration // how long the worker's node still admits requests after a window has closed
+	LocalWorker  string        // declared name of this node's worker, "" at an edge
 	Now          func() time.Time
 	Logger       log.Interface
-	OnReader     func(reader bool) // called when reader duty changes
+	OnReader     func(reader bool) // called by the loop when this node starts or stops reading the source
 }
 
-// Loop is the owner of control state. Make one with New, then Run it.
+// Loop is the control loop of a node. Create it with New and start it with Run.
+// All other exported methods are safe for concurrent use.
 type Loop struct {
-	config       Config
-	membership   *membership.Machine
-	distribution *distribution.Machine
-	clock        *clockOffset
-	reported     correctionReport
-	publisher    *publisher
-	inputs       chan any
-	dropped      atomic.Uint64 // messages that found inputs full
-	addresses    addressBook
-	others       atomic.Pointer[[]wire.Member] // whom a refused dialer may ask
-	listed       []membership.ListedMachine    // the platform's list
-	encoded      encodedPush
-	peerVersions map[string]version.Version // by live member, as it last said
-	lastSeen     time.Time                  // when the loop last handled anything
-	confirmation confirmation
-	caughtUp     bool // by distribution
-	fresh        bool // whether the node may serve
-	draining     bool // a planned stop has begun
-	leaving      bool
-
-	membersChanged bool      // since the other parts were told who is live
-	membersPassed  time.Time // when they were told
+	config           Config
+	membership       *membership.Machine
+	distribution     *distribution.Machine
+	clock            *clockOffset
+	lastClockReport  correctionReport
+	publisher        *publisher
+	inputs           chan any
+	dropped          atomic.Uint64 // messages dropped because inputs was full
+	addresses        addressBook
+	alternativePeers atomic.Pointer[[]wire.Member] // peers that a rejected dialer may try
+	machineList      []membership.ListedMachine    // the platform's machine list
+	pushCache        encodedPushCache
+	peerVersions     map[string]version.Version // active version by live member, as last reported
+	lastEventAt      time.Time                  // when the loop last handled an event
+	confirmation     confirmation
+	caughtUp         bool // whether distribution has caught up
+	ready            bool // whether the node may serve
+	draining         bool // whether a planned stop has begun
+	leaving          bool
+
+	membersChanged      bool      // whether membership has changed since membersPropagatedAt
+	membersPropagatedAt time.Time // when the live members were last propagated
 }
 
-// New returns a loop that holds nothing yet.
+// New returns a loop without an active version. Its only member is this node.
 func New(config Config) *Loop {
 	now := config.Now()
 	loop := &Loop{
@@ -88,21 +90,21 @@
 		distribution: distribution.New(config.Distribution, now),
 		clock:        newClockOffset(),
 		peerVersions: make(map[string]version.Version),
-		inputs:       make(chan any, inputQueue),
-		lastSeen:     now,
+		inputs:       make(chan any, inputQueueSize),
+		lastEventAt:  now,
 
-		membersChanged: true, // from none to this node
+		membersChanged: true, // this node itself is to be propagated
 	}
 	loop.publisher = newPublisher(config, loop.membership.Live)
 	loop.addresses.store(loop.membership.Live())
 	return loop
 }
 
-// Run handles events until ctx ends.
+// Run handles events until ctx is done, and then returns nil.
 func (l *Loop) Run(ctx context.Context) error {
 	ticker := time.NewTicker(l.config.Tick)
 	defer ticker.Stop()
-	l.passMembers(l.config.Now())
+	l.propagateMembers(l.config.Now())
 	for {
 		select {
 		case <-ctx.Done():
@@ -115,9 +117,9 @@
 	}
 }
 
-// Deliver hands a message from a peer to the loop. It may be called from any
-// goroutine. A message that finds the queue full is dropped: the protocols
-// heal losses, and waiting would stall the peer's stream.
+// Deliver queues a message from a peer and reports whether it was queued. If the
+// queue is full, the message is dropped: the protocols recover from lost messages,
+// and blocking would stall the peer's stream. It is safe for concurrent use.
 func (l *Loop) Deliver(received transport.Received) bool {
 	select {
 	case l.inputs <- received:
@@ -128,12 +130,13 @@
 	}
 }
 
-// Dropped counts the messages that found the queue full. It may be called from
-// any goroutine.
+// Dropped returns the number of messages dropped because the queue was full. It is
+// safe for concurrent use.
 func (l *Loop) Dropped() uint64 { return l.dropped.Load() }
 
-// Send sends a message for a part outside the loop, such as the claim keeper.
-// It may be called from any goroutine.
+// Send sends a message on behalf of a component outside the loop, such as the claim
+// keeper. A message to this node is delivered to the claim keeper. It is safe for
+// concurrent use.
 func (l *Loop) Send(outgoing wire.Outgoing) {
 	if outgoing.To == l.config.Membership.Self.Name {
 		l.config.Claims.Deliver(outgoing.Message)
@@ -142,7 +145,8 @@
 	l.transmit(outgoing, l.addresses.lookup, nil)
 }
 
-// submit hands an event to the loop and waits for room in its queue.
+// submit queues an event for the loop. It blocks while the queue is full, until ctx
+// is done.
 func (l *Loop) submit(ctx context.Context, event any) {
 	select {
 	case l.inputs <- event:
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -8,7 +8,7 @@
 	"sliphead/internal/wire"
 )
 
-// The events that other goroutines submit to the loop.
+// Events submitted to the loop by other goroutines.
 type (
 	tick           struct{}
 	sourceRead     struct{ set *snapshot.Set }
@@ -20,7 +20,8 @@
 	statusRequest  struct{ reply chan Status }
 )
 
-// SourceRead reports a configuration that this node read from the source.
+// SourceRead reports a configuration that this node read from the source. Like all
+// methods in this file, it blocks while the loop's queue is full, until ctx is done.
 func (l *Loop) SourceRead(ctx context.Context, set *snapshot.Set) {
 	l.submit(ctx, sourceRead{set: set})
 }
@@ -30,7 +31,7 @@
 	l.submit(ctx, sourceFailed{err: err})
 }
 
-// MachinesRead reports the platform's list of machines, which may be old.
+// MachinesRead reports the platform's machine list, which may be stale.
 func (l *Loop) MachinesRead(ctx context.Context, machines []membership.ListedMachine) {
 	l.submit(ctx, machinesRead{machines: machines})
 }
@@ -40,15 +41,15 @@
 	l.submit(ctx, endpointChange{state: state})
 }
 
-// Drain tells the fleet, before a planned stop, that the local worker takes no
-// new requests. From then on SetEndpoint has no effect: the worker may still
-// look ready.
+// Drain announces to the fleet, before a planned stop, that the local worker accepts
+// no new requests. Later calls of SetEndpoint have no effect, because the worker's
+// health check may still report it as ready.
 func (l *Loop) Drain(ctx context.Context) {
 	l.submit(ctx, drainRequest{})
 }
 
-// Leave announces to the fleet that this node is going. It returns when the
-// announcement has been handed to the transport.
+// Leave announces to the fleet that this node is about to stop. It returns when the
+// announcement has been passed to the transport, or when ctx is done.
 func (l *Loop) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	l.submit(ctx, leaveRequest{done: done})
@@ -58,7 +59,7 @@
 	}
 }
 
-// Status returns what the loop knows now.
+// Status returns the current control state, or the zero Status when ctx is done first.
 func (l *Loop) Status(ctx context.Context) Status {
 	reply := make(chan Status, 1)
 	l.submit(ctx, statusRequest{reply: reply})
--- a/internal/control/handle.go
+++ b/internal/control/handle.go
@@ -10,14 +10,14 @@
 	"sliphead/internal/wire"
 )
 
-// handle feeds one event to the state machines.
+// handle passes one event to the state machines.
 func (l *Loop) handle(event any, now time.Time) {
-	l.noticePause(now)
+	l.detectPause(now)
 	switch event := event.(type) {
 	case tick:
 		l.stepMembership(membership.Tick{}, now)
 		l.stepDistribution(distribution.Tick{}, now)
-		l.confirmInTime(now)
+		l.retryConfirmation(now)
 		l.reportClock(now)
 	case transport.Received:
 		l.route(event.Envelope, now)
@@ -26,7 +26,7 @@
 	case sourceFailed:
 		l.stepDistribution(distribution.SourceFailed{Err: event.err}, now)
 	case machinesRead:
-		l.readMachines(event.machines, now)
+		l.setMachineList(event.machines, now)
 	case endpointChange:
 		l.setEndpoint(event.state, now)
 	case drainRequest:
@@ -39,31 +39,32 @@
 		event.reply <- l.status(now)
 	}
 	l.renewLease(now)
-	l.passMembers(now)
+	l.propagateMembers(now)
 	l.publish(now)
 }
 
-// setEndpoint tells the fleet what the local worker's state is, unless a planned
-// stop has begun: what is seen of the worker can't undo that.
+// setEndpoint announces the local worker's state to the fleet. It has no effect once
+// a planned stop has begun, because a worker that still looks ready must not undo
+// the drain.
 func (l *Loop) setEndpoint(state wire.EndpointState, now time.Time) {
 	if !l.draining {
 		l.stepMembership(membership.SetEndpoint{State: state}, now)
 	}
 }
 
-// drain announces that the local worker takes no new requests.
+// drain announces that the local worker accepts no new requests.
 func (l *Loop) drain(now time.Time) {
 	l.draining = true
 	l.stepMembership(membership.SetEndpoint{State: wire.EndpointDraining}, now)
 }
 
-// noticePause detects that the process was stopped for longer than its lease:
-// whatever it believes may be long past, so it holds no duty and no lease
-// until a peer has confirmed its state. A wall clock set forward by more than
-// the lease can't be told from a machine suspended, and counts as a pause.
-func (l *Loop) noticePause(now time.Time) {
-	gap := longestGap(l.lastSeen, now)
-	l.lastSeen = now
+// detectPause detects that the process was stopped for longer than its lease. Its
+// state may then be stale, so it holds no reader duty and no lease until a peer has
+// confirmed its state. A wall clock set forward by more than the lease also
+// counts as a pause, because it can't be distinguished from a suspended machine.
+func (l *Loop) detectPause(now time.Time) {
+	gap := longestGap(l.lastEventAt, now)
+	l.lastEventAt = now
 	if gap <= l.config.Lease {
 		return
 	}
@@ -74,14 +75,14 @@
 	l.stepDistribution(distribution.Resumed{}, now)
 }
 
-// renewLease lets traffic use the published view for another lease.
+// renewLease extends the time for which traffic may use the published view.
 func (l *Loop) renewLease(now time.Time) {
-	if l.fresh {
+	if l.ready {
 		l.config.Holder.Renew(now.Add(l.config.Lease))
 	}
 }
 
-// route gives a message to the state machine whose protocol it belongs to.
+// route passes a message to the state machine of its protocol.
 func (l *Loop) route(message wire.Envelope, now time.Time) {
 	switch {
 	case message.Ping != nil, message.PingReq != nil, message.Ack != nil, message.Gossip != nil, message.Sync != nil:
@@ -92,38 +93,39 @@
 	case message.ClaimRequest != nil, message.ClaimReply != nil, message.ClaimCopy != nil:
 		l.config.Claims.Deliver(message)
 	case message.Busy != nil:
-		l.refusedBy(message.Busy, now)
+		l.handleBusy(message.Busy, now)
 	}
 }
 
-// stepMembership runs one step of membership and carries out its effects.
+// stepMembership runs one step of membership and executes its effects.
 func (l *Loop) stepMembership(event membership.Event, now time.Time) {
 	for _, effect := range l.membership.Step(event, now) {
 		switch effect := effect.(type) {
 		case membership.Send:
-			l.confirmation.sent(effect.Message.Ping)
+			l.confirmation.recordPing(effect.Message.Ping)
 			l.transmit(effect.Outgoing, l.addressOf, nil)
 		case membership.Changed:
 			l.membersChanged = true
 			l.publisher.dirty = true
-			l.memberChanged(effect, now)
+			l.logMemberChange(effect, now)
 		case membership.PeerDigests:
-			l.peerSaid(effect, now)
+			l.observePeerDigests(effect, now)
 		}
 	}
 }
 
-// peerSaid takes in what a peer's gossip says of its state.
-func (l *Loop) peerSaid(effect membership.PeerDigests, now time.Time) {
+// observePeerDigests records a peer's clock and active version, and passes its
+// digests to distribution.
+func (l *Loop) observePeerDigests(effect membership.PeerDigests, now time.Time) {
 	l.clock.observe(effect.From, effect.Digests.Clock, now)
-	if _, known := l.membership.Lookup(effect.From); known {
+	if _, found := l.membership.Lookup(effect.From); found {
 		l.peerVersions[effect.From] = effect.Digests.Active
 	}
 	l.stepDistribution(distribution.PeerDigests{From: effect.From, Digests: effect.Digests}, now)
 }
 
-// memberChanged logs what became of a member.
-func (l *Loop) memberChanged(change membership.Changed, now time.Time) {
+// logMemberChange logs a change of a member's status or endpoint state.
+func (l *Loop) logMemberChange(change membership.Changed, now time.Time) {
 	if change.Member.Status == change.Before.Status && change.Member.Endpoint == change.Before.Endpoint {
 		return
 	}
@@ -135,16 +137,16 @@
 	})
 }
 
-// stepDistribution runs one step of distribution and carries out its effects.
+// stepDistribution runs one step of distribution and executes its effects.
 func (l *Loop) stepDistribution(event distribution.Event, now time.Time) {
 	for _, effect := range l.distribution.Step(event, now) {
 		switch effect := effect.(type) {
 		case distribution.Send:
-			l.transmit(effect.Outgoing, l.addressOf, &l.encoded)
+			l.transmit(effect.Outgoing, l.addressOf, &l.pushCache)
 		case distribution.Activate:
 			l.activate(effect, now)
 		case distribution.Duty:
-			l.dutyChanged(effect.Reader)
+			l.reportReaderDuty(effect.Reader)
 		case distribution.DigestsChanged:
 			l.stepMembership(membership.SetDigests{Active: effect.Active, Staged: effect.Staged}, now)
 		case distribution.Fresh:
@@ -159,7 +161,8 @@
 	}
 }
 
-// activate puts a version in force on this node.
+// activate makes a version the active one on this node. A version that can't be
+// compiled is logged and the previous one stays active.
 func (l *Loop) activate(effect distribution.Activate, now time.Time) {
 	if err := l.publisher.setActive(effect.Set); err != nil {
 		logging.Problem(l.config.Logger, "version.unusable", err, nil)
@@ -175,14 +178,14 @@
 	l.publisher.publishNow(l.wallClock(now), now)
 }
 
-// updateReadiness decides whether the node may serve: it has caught up and,
-// after a pause, a peer has confirmed its state.
+// updateReadiness updates whether the node may serve: it must have caught up and,
+// after a pause, a peer must have confirmed its state.
 func (l *Loop) updateReadiness(now time.Time) {
 	ready := l.caughtUp && !l.confirmation.pending
-	if ready == l.fresh {
+	if ready == l.ready {
 		return
 	}
-	l.fresh = ready
+	l.ready = ready
 	if !ready {
 		return
 	}
@@ -191,18 +194,18 @@
 	l.renewLease(now)
 }
 
-// publish resolves a new view when anything it depends on has changed.
+// publish publishes a new view when one is due.
 func (l *Loop) publish(now time.Time) {
 	l.publisher.publishIfDue(l.wallClock(now), now)
 }
 
-// wallClock returns the time by which schedules are read.
+// wallClock returns the corrected wall clock time, by which schedules are evaluated.
 func (l *Loop) wallClock(now time.Time) time.Time { return now.Add(l.clock.correction()).Round(0) }
 
-// logDistribution writes an event of the distribution machine to the log.
+// logDistribution logs an event of the distribution machine.
 func (l *Loop) logDistribution(event distribution.Log) {
 	if event.Name == distribution.LogActivated {
-		return // activate logs it with the moment
+		return // activate logs it, with the time
 	}
 	fields := make(logging.Fields, len(event.Fields))
 	for _, field := range event.Fields {
@@ -215,9 +218,9 @@
 	logging.Event(l.config.Logger, event.Name, fields)
 }
 
-// dutyChanged passes the duty to read the source on. When it begins and ends is
-// distribution's to decide.
-func (l *Loop) dutyChanged(reader bool) {
+// reportReaderDuty reports that distribution has assigned or withdrawn the duty to
+// read the source.
+func (l *Loop) reportReaderDuty(reader bool) {
 	logging.Event(l.config.Logger, "duty.changed", logging.Fields{"reader": reader})
 	if l.config.OnReader != nil {
 		l.config.OnReader(reader)
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -7,37 +7,37 @@
 	"sliphead/internal/wire"
 )
 
-// passMembers tells the other parts who is live, when that has changed. Each
-// time costs as much as the fleet is large, and in a mass restart every message
-// brings changes: so it is done no more often than views are published.
-func (l *Loop) passMembers(now time.Time) {
-	if !l.membersChanged || now.Sub(l.membersPassed) < publishSpacing {
+// propagateMembers passes changed live members to the address book, the alternative
+// peers and distribution. The cost grows with the fleet size, and in a mass restart
+// every message brings changes, so this is done at most once per minPublishInterval.
+func (l *Loop) propagateMembers(now time.Time) {
+	if !l.membersChanged || now.Sub(l.membersPropagatedAt) < minPublishInterval {
 		return
 	}
 	l.membersChanged = false
-	l.membersPassed = now
+	l.membersPropagatedAt = now
 	live := l.membership.Live()
 	l.addresses.store(live)
-	others := chooseOthers(live, l.config.Membership.Self)
-	l.others.Store(&others)
-	l.forgetPeerVersions()
+	alternatives := chooseAlternatives(live, l.config.Membership.Self)
+	l.alternativePeers.Store(&alternatives)
+	l.prunePeerVersions()
 	l.stepDistribution(distribution.Members{Live: live}, now)
 }
 
-// forgetPeerVersions drops what dead members said.
-func (l *Loop) forgetPeerVersions() {
+// prunePeerVersions removes the versions that dead members reported.
+func (l *Loop) prunePeerVersions() {
 	for name := range l.peerVersions {
-		if member, known := l.membership.Lookup(name); !known || member.Status == wire.StatusDead {
+		if member, found := l.membership.Lookup(name); !found || member.Status == wire.StatusDead {
 			delete(l.peerVersions, name)
 		}
 	}
 }
 
-// addressOf returns the address of a live member, "" for anybody else. Unlike
-// the address book it is never behind; only the loop may ask.
+// addressOf returns the address of a live member, "" for any other name. Unlike the
+// address book it is never stale, but only the loop may call it.
 func (l *Loop) addressOf(name string) string {
-	member, known := l.membership.Lookup(name)
-	if !known || member.Status == wire.StatusDead {
+	member, found := l.membership.Lookup(name)
+	if !found || member.Status == wire.StatusDead {
 		return ""
 	}
 	return member.Peer
--- a/internal/control/pause_test.go
+++ b/internal/control/pause_test.go
@@ -21,18 +21,18 @@
 
 const pauseTestLease = 2 * time.Second
 
-// outbox keeps what a loop sends.
-type outbox struct {
+// recordingSender records the messages that a loop sends.
+type recordingSender struct {
 	sent      []wire.Envelope
 	addresses []string
 }
 
-func (o *outbox) SendDatagram(address string, envelope wire.Envelope) {
+func (o *recordingSender) SendDatagram(address string, envelope wire.Envelope) {
 	o.sent = append(o.sent, envelope)
 	o.addresses = append(o.addresses, address)
 }
 
-func (o *outbox) SendEncoded(_ string, line []byte) {
+func (o *recordingSender) SendEncoded(_ string, line []byte) {
 	if envelope, err := wire.Decode(line); err == nil {
 		o.sent = append(o.sent, envelope)
 	}
@@ -43,25 +43,26 @@
 func (noClaims) Deliver(wire.Envelope)     {}
 func (noClaims) Configure(claim.Configure) {}
 
-// paused is a loop that knows one peer and is ready, driven step by step.
-type paused struct {
+// testLoop is a loop with one peer on a virtual clock, driven step by step.
+type testLoop struct {
 	loop   *Loop
-	out    *outbox
+	sender *recordingSender
 	holder *snapshot.Holder
 	now    time.Time
 	peer   wire.Member
 	active version.Version
 }
 
-// newReady returns a loop that agreed with its peer on a version.
-func newReady(t *testing.T) *paused {
+// newReadyLoop returns a loop that is ready and has the same active version as its
+// peer.
+func newReadyLoop(t *testing.T) *testLoop {
 	t.Helper()
-	return newReadyAt(t, time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC))
+	return newReadyLoopAt(t, time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC))
 }
 
-func newReadyAt(t *testing.T, now time.Time) *paused {
+func newReadyLoopAt(t *testing.T, now time.Time) *testLoop {
 	t.Helper()
-	p := &paused{out: &outbox{}, holder: &snapshot.Holder{}, now: now}
+	p := &testLoop{sender: &recordingSender{}, holder: &snapshot.Holder{}, now: now}
 	p.peer = wire.Member{Name: "peer", Zone: "zone", Peer: "peer:1", Start: p.now.UnixMilli(), Status: wire.StatusAlive, Endpoint: wire.EndpointReady}
 	self := wire.Member{Name: "self", Zone: "zone", Peer: "self:1", Start: p.now.UnixMilli(), Status: wire.StatusAlive}
 	members := membership.DefaultConfig(membership.ProfileConvergence)
@@ -70,18 +71,18 @@
 	versions.Self, versions.Lease, versions.Random = self, pauseTestLease, mathrand.New(mathrand.NewSource(1))
 	versions.Validate = func(*snapshot.Set) error { return nil }
 	p.loop = New(Config{
-		Membership: members, Distribution: versions, Holder: p.holder, Sender: p.out, Claims: noClaims{},
+		Membership: members, Distribution: versions, Holder: p.holder, Sender: p.sender, Claims: noClaims{},
 		Lease: pauseTestLease, Now: func() time.Time { return p.now }, Logger: logging.Discard(),
 	})
 	set, err := snapshot.Build(&declaration.Document{Services: []declaration.Service{{Name: "storefront"}}}, 1, nil)
 	must.NoError(t, err)
 	p.active = set.Version()
-	for number := range uint64(2) { // the first brings the peer's register, which makes the second count
+	for number := range uint64(2) { // the second counts because the first has brought the peer's register
 		ping := wire.Ping{Number: number, Updates: []wire.Member{p.peer}, Digests: wire.Digests{Active: p.active}}
 		p.loop.handle(p.fromPeer(wire.Envelope{Ping: &ping}), p.now)
 	}
 	p.loop.handle(p.fromPeer(wire.Envelope{Push: &wire.Push{Delta: snapshot.Diff(snapshot.Empty(), set)}}), p.now)
-	p.answerPulls()
+	p.acceptPulls()
 	for range 20 {
 		p.tick()
 	}
@@ -89,36 +90,36 @@
 	return p
 }
 
-// answerPulls gives the peer's answers to the numbered pulls sent so far.
-func (p *paused) answerPulls() {
-	for _, message := range p.out.sent {
+// acceptPulls delivers the peer's acceptance of the numbered pulls sent so far.
+func (p *testLoop) acceptPulls() {
+	for _, message := range p.sender.sent {
 		if message.Pull != nil && message.Pull.Number != 0 {
 			p.loop.handle(p.fromPeer(wire.Envelope{Accepted: &wire.Accepted{Version: p.active, Number: message.Pull.Number}}), p.now)
 		}
 	}
 }
 
-func (p *paused) fromPeer(message wire.Envelope) transport.Received {
+func (p *testLoop) fromPeer(message wire.Envelope) transport.Received {
 	message.From = p.peer.Name
 	return transport.Received{Envelope: message}
 }
 
-func (p *paused) tick() {
+func (p *testLoop) tick() {
 	p.now = p.now.Add(50 * time.Millisecond)
 	p.loop.handle(tick{}, p.now)
 }
 
-func (p *paused) mayServe() bool {
+func (p *testLoop) mayServe() bool {
 	_, current := p.holder.Current(p.now)
 	return current
 }
 
-// queuedEvents are what a loop may find in its queue when it wakes.
-func (p *paused) queuedEvents() map[string]any {
+// queuedEvents returns the events that a loop may find in its queue when it resumes.
+func (p *testLoop) queuedEvents() map[string]any {
 	oldDigests := wire.Digests{Active: p.active, View: p.loop.membership.ViewHash(), Clock: p.now.UnixMilli()}
 	return map[string]any{
 		"tick":      tick{},
-		"status":    statusRequest{reply: make(chan Status, 2)}, // it is handled twice
+		"status":    statusRequest{reply: make(chan Status, 2)}, // handled twice
 		"claim":     p.fromPeer(wire.Envelope{ClaimReply: &wire.ClaimReply{}}),
 		"ping":      p.fromPeer(wire.Envelope{Ping: &wire.Ping{Number: 2, Digests: oldDigests}}),
 		"ack":       p.fromPeer(wire.Envelope{Ack: &wire.Ack{Number: 1, About: "peer", Digests: oldDigests}}),
@@ -132,29 +133,28 @@
 	}
 }
 
-// TestNoQueuedEventRenewsTheLeaseAfterAPause wakes a loop with each event that
-// may wait in its queue, alone and followed by all others. Traffic must not use
-// the view.
-func TestNoQueuedEventRenewsTheLeaseAfterAPause(t *testing.T) {
-	for name := range newReady(t).queuedEvents() {
-		p := newReady(t)
+// After a pause, events queued during it must not renew the lease: traffic would use
+// a stale view. Each event is handled first and then followed by all others.
+func TestNoQueuedEventRenewsLeaseAfterPause(t *testing.T) {
+	for name := range newReadyLoop(t).queuedEvents() {
+		p := newReadyLoop(t)
 		events := p.queuedEvents()
 		p.now = p.now.Add(pauseTestLease + time.Millisecond)
 		must.False(t, p.mayServe())
 		p.loop.handle(events[name], p.now)
-		must.False(t, p.mayServe(), must.Sprintf("woken by %s", name))
+		must.False(t, p.mayServe(), must.Sprintf("lease renewed by first event %s", name))
 		for other, event := range events {
 			p.now = p.now.Add(time.Millisecond)
 			p.loop.handle(event, p.now)
-			must.False(t, p.mayServe(), must.Sprintf("woken by %s, then %s", name, other))
+			must.False(t, p.mayServe(), must.Sprintf("first event %s, lease renewed by %s", name, other))
 		}
 	}
 }
 
-// TestPauseBetweenClockAndStep stops a loop after it has read the clock: the
-// lease that it then renews has ended by the time that traffic runs.
-func TestPauseBetweenClockAndStep(t *testing.T) {
-	p := newReady(t)
+// The pause comes after the loop has read the clock. The lease that it then renews
+// must have expired by the time that traffic runs.
+func TestPauseAfterClockReadExpiresLease(t *testing.T) {
+	p := newReadyLoop(t)
 	read := p.now.Add(time.Millisecond)
 	p.now = p.now.Add(time.Minute)
 	p.loop.handle(tick{}, read)
@@ -163,16 +163,16 @@
 	must.False(t, p.mayServe())
 }
 
-// TestPauseEndsWithAnAnswerToAQuestionAskedAfterIt answers the questions that
-// the loop asks when it wakes. It serves once version and endpoints are known.
-func TestPauseEndsWithAnAnswerToAQuestionAskedAfterIt(t *testing.T) {
-	p := newReady(t)
+// After a pause the loop may serve only when a peer has replied to requests sent
+// after the pause and so confirmed both the version and the endpoint states.
+func TestPauseEndsWithReplyToRequestSentAfterIt(t *testing.T) {
+	p := newReadyLoop(t)
 	p.now = p.now.Add(pauseTestLease + time.Millisecond)
-	p.out.sent = nil
+	p.sender.sent = nil
 	p.loop.handle(tick{}, p.now)
 	var ping *wire.Ping
 	var pull *wire.Pull
-	for _, message := range p.out.sent {
+	for _, message := range p.sender.sent {
 		if message.Ping != nil && ping == nil {
 			ping = message.Ping
 		}
@@ -183,10 +183,10 @@
 	must.NotNil(t, ping)
 	must.NotNil(t, pull)
 	p.loop.handle(p.fromPeer(wire.Envelope{Accepted: &wire.Accepted{Version: p.active, Number: pull.Number}}), p.now)
-	must.False(t, p.mayServe(), must.Sprint("before the endpoints were confirmed"))
+	must.False(t, p.mayServe(), must.Sprint("served before the endpoint states were confirmed"))
 	digests := wire.Digests{Active: p.active, View: p.loop.membership.ViewHash() + 1}
 	p.loop.handle(p.fromPeer(wire.Envelope{Ack: &wire.Ack{Number: ping.Number, About: "peer", Digests: digests}}), p.now)
-	must.False(t, p.mayServe(), must.Sprint("the peer's view differs"))
+	must.False(t, p.mayServe(), must.Sprint("served although the peer's view differs"))
 	digests.View--
 	p.loop.handle(p.fromPeer(wire.Envelope{Ack: &wire.Ack{Number: ping.Number, About: "peer", Digests: digests}}), p.now)
 	must.True(t, p.mayServe())
--- a/internal/control/publisher.go
+++ b/internal/control/publisher.go
@@ -10,21 +10,22 @@
 	"sliphead/internal/wire"
 )
 
-// publisher turns the active set and the live endpoints into views.
+// publisher resolves the active set and the live endpoints to views and publishes
+// them.
 type publisher struct {
 	config       Config
 	compiled     *snapshot.Compiled
 	document     *declaration.Document
 	version      version.Version
 	live         func() []wire.Member // sorted by name
-	members      []wire.Member        // live when the last view was published
+	members      []wire.Member        // live members of the last published view
 	readySince   map[endpointIdentity]time.Time
 	dirty        bool
 	nextBoundary time.Time // wall clock at which a schedule opens or closes
 	lastPublish  time.Time
 }
 
-// endpointIdentity tells a restarted worker from its former self.
+// endpointIdentity distinguishes a restarted node from its former process.
 type endpointIdentity struct {
 	node  string
 	start int64
@@ -34,8 +35,8 @@
 	return &publisher{config: config, live: live, readySince: make(map[endpointIdentity]time.Time)}
 }
 
-// setActive compiles a set that comes into force. The set before stays when the
-// new one can't be compiled.
+// setActive compiles a set and makes it the active one. On an error the previous set
+// stays active.
 func (p *publisher) setActive(set *snapshot.Set) error {
 	compiled, err := snapshot.Compile(set)
 	if err != nil {
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// takeMembers notes who is live, and since when each endpoint is ready.
-func (p *publisher) takeMembers(now time.Time) {
+// refreshMembers updates the live members and since when each endpoint is ready.
+func (p *publisher) refreshMembers(now time.Time) {
 	p.members = p.live()
 	since := make(map[endpointIdentity]time.Time, len(p.members))
 	for _, member := range p.members {
@@ -57,8 +58,8 @@
 			continue
 		}
 		identity := endpointIdentity{node: member.Name, start: member.Start}
-		first, known := p.readySince[identity]
-		if !known {
+		first, found := p.readySince[identity]
+		if !found {
 			first = now
 		}
 		since[identity] = first
@@ -66,7 +67,8 @@
 	p.readySince = since
 }
 
-// publishIfDue publishes when something changed or a schedule boundary passed.
+// publishIfDue publishes a view when members or declarations have changed or a
+// schedule boundary has passed, at most once per minPublishInterval.
 func (p *publisher) publishIfDue(wallClock, now time.Time) {
 	if p.compiled == nil {
 		return
@@ -74,13 +76,13 @@
 	if !p.dirty && !p.boundaryPassed(wallClock) {
 		return
 	}
-	if now.Sub(p.lastPublish) < publishSpacing {
+	if now.Sub(p.lastPublish) < minPublishInterval {
 		return
 	}
 	p.publishNow(wallClock, now)
 }
 
-// publishReady publishes what has changed before traffic may use the view.
+// publishReady publishes pending changes at once, before traffic may use the view.
 func (p *publisher) publishReady(wallClock, now time.Time) {
 	if p.compiled != nil && (p.dirty || p.boundaryPassed(wallClock)) {
 		p.publishNow(wallClock, now)
@@ -88,14 +90,14 @@
 }
 
 // boundaryPassed reports whether a schedule has opened or closed since the last
-// view. A zero boundary means that none is near.
+// view. A zero nextBoundary means that none is near.
 func (p *publisher) boundaryPassed(wallClock time.Time) bool {
 	return !p.nextBoundary.IsZero() && !wallClock.Before(p.nextBoundary)
 }
 
 // publishNow resolves and publishes a view.
 func (p *publisher) publishNow(wallClock, now time.Time) {
-	p.takeMembers(now)
+	p.refreshMembers(now)
 	p.dirty = false
 	p.lastPublish = now
 	p.nextBoundary = p.compiled.NextResolve(wallClock, p.config.Overlap)
@@ -108,7 +110,7 @@
 	p.config.Claims.Configure(p.claimConfiguration())
 }
 
-// endpoints returns the live ready endpoints.
+// endpoints returns the ready endpoints of live members that are not leaving.
 func (p *publisher) endpoints() []snapshot.Endpoint {
 	var endpoints []snapshot.Endpoint
 	for _, member := range p.members {
@@ -127,9 +129,9 @@
 	return endpoints
 }
 
-// claimConfiguration returns the declared workers of the local worker's service
-// and the live nodes beside workers of it, the newest of each worker. A node
-// takes part in the claims of no other service.
+// claimConfiguration returns the declared workers of the local worker's service and
+// the live node of each, the most recently started one if there are several. A node
+// takes part only in the claims of its own worker's service.
 func (p *publisher) claimConfiguration() claim.Configure {
 	service := p.config.Membership.Self.Service
 	configuration := claim.Configure{
--- a/internal/control/send.go
+++ b/internal/control/send.go
@@ -7,8 +7,8 @@
 	"sliphead/internal/wire"
 )
 
-// addressBook maps members' names to the addresses of their peer listeners. The
-// loop writes it; any goroutine may read it.
+// addressBook maps members' names to the addresses of their peer listeners. The loop
+// writes it; reads are safe for concurrent use.
 type addressBook struct {
 	current atomic.Pointer[map[string]string]
 }
@@ -25,14 +25,14 @@
 	return (*b.current.Load())[name]
 }
 
-// encodedPush keeps the line of the push that was encoded last: a push goes to
-// several children in a row and is encoded once for all.
-type encodedPush struct {
+// encodedPushCache caches the encoding of the last push, which is sent to several
+// children in a row.
+type encodedPushCache struct {
 	push *wire.Push
 	line []byte
 }
 
-func (e *encodedPush) encode(envelope wire.Envelope) ([]byte, error) {
+func (e *encodedPushCache) encode(envelope wire.Envelope) ([]byte, error) {
 	if envelope.Push != nil && envelope.Push == e.push {
 		return e.line, nil
 	}
@@ -43,23 +43,24 @@
 	return line, err
 }
 
-// transmit hands a message to the transport. lookup gives the address of a live
-// member. The cache may be nil.
-func (l *Loop) transmit(outgoing wire.Outgoing, lookup func(name string) string, cache *encodedPush) {
+// transmit passes a message to the transport. It looks up the address of the
+// recipient if the message has none, and drops the message if there is none. The
+// cache may be nil.
+func (l *Loop) transmit(outgoing wire.Outgoing, lookup func(name string) string, cache *encodedPushCache) {
 	outgoing.Message.From = l.config.Membership.Self.Name
 	address := outgoing.Address
 	if address == "" {
 		address = lookup(outgoing.To)
 	}
 	if address == "" {
-		return // the member is gone; the protocols ask somebody else in time
+		return // not a live member; the protocols retry with another one
 	}
 	if outgoing.Datagram {
 		l.config.Sender.SendDatagram(address, outgoing.Message)
 		return
 	}
 	if cache == nil {
-		cache = &encodedPush{}
+		cache = &encodedPushCache{}
 	}
 	line, err := cache.encode(outgoing.Message)
 	if err != nil {
--- a/internal/control/simulation/edition_test.go
+++ b/internal/control/simulation/declarations_test.go
@@ -14,22 +14,24 @@
 	secret  = "press"
 )
 
-// edition is one version of the declarations.
-type edition struct {
-	without *snapshot.Set // the secret's value is not held yet
-	whole   *snapshot.Set
-	sound   bool // whether the validator takes it
+// declarationSet is one version of the declarations.
+type declarationSet struct {
+	withoutSecret *snapshot.Set // without the value of the secret
+	complete      *snapshot.Set
+	valid         bool // whether it passes validation
 }
 
-func (e *edition) set(late bool) *snapshot.Set {
-	if late {
-		return e.without
+// set returns the set that the source shows, without the secret's value if that is late.
+func (e *declarationSet) set(secretLate bool) *snapshot.Set {
+	if secretLate {
+		return e.withoutSecret
 	}
-	return e.whole
+	return e.complete
 }
 
-// write makes an edition. Another variant is another content.
-func (f *fleet) write(epoch, revision uint64, variant string, sound bool) *edition {
+// declare returns declarations of an epoch and revision. Different variants have
+// different contents, and invalid ones fail validation.
+func (f *fleet) declare(epoch, revision uint64, variant string, valid bool) *declarationSet {
 	value := fmt.Sprintf("value-%d%s", revision, variant)
 	document := &declaration.Document{
 		Epoch:     epoch,
@@ -57,22 +59,22 @@
 		}
 		document.Routes = append(document.Routes, route)
 	}
-	if !sound {
+	if !valid {
 		document.Routes[0].Service = "absent"
 	}
-	without, err := snapshot.Build(document, revision, nil)
+	withoutSecret, err := snapshot.Build(document, revision, nil)
 	must.NoError(f.t, err)
-	whole, err := snapshot.Build(document, revision, map[string]string{secret: value})
+	complete, err := snapshot.Build(document, revision, map[string]string{secret: value})
 	must.NoError(f.t, err)
-	e := &edition{without: without, whole: whole, sound: sound}
-	must.Eq(f.t, sound, validate(whole) == nil)
+	e := &declarationSet{withoutSecret: withoutSecret, complete: complete, valid: valid}
+	must.Eq(f.t, valid, validate(complete) == nil)
 	return e
 }
 
-// publish shows an edition to the readers among the given nodes.
-func (f *fleet) publish(e *edition, nodes ...*node) {
+// publish makes declarations visible to the given nodes when they read the source.
+func (f *fleet) publish(e *declarationSet, nodes ...*node) {
 	f.mutex.Lock()
-	f.published[e.whole.Version()] = e
+	f.published[e.complete.Version()] = e
 	f.mutex.Unlock()
 	for _, n := range nodes {
 		n.source = e
--- a/internal/control/simulation/faults_test.go
+++ b/internal/control/simulation/faults_test.go
@@ -13,19 +13,20 @@
 	"sliphead/internal/version"
 )
 
-// faultPlan draws faults and changes of the declarations.
+// faultPlan draws random faults and changes of the declarations.
 type faultPlan struct {
 	*fleet
 	epoch, revision uint64
-	written         []*edition
+	written         []*declarationSet
 }
 
 func (p *faultPlan) node(t *rapid.T) *node {
 	return p.nodes[rapid.IntRange(0, len(p.nodes)-1).Draw(t, "node")]
 }
 
-// show publishes an edition through all of the source's replicas or some.
-func (p *faultPlan) show(t *rapid.T, e *edition) {
+// publishDrawn publishes declarations to all nodes or to a random subset, as if only
+// some replicas of the source had them.
+func (p *faultPlan) publishDrawn(t *rapid.T, e *declarationSet) {
 	p.written = append(p.written, e)
 	nodes := p.nodes
 	if !rapid.Bool().Draw(t, "everywhere") {
@@ -36,28 +37,29 @@
 
 func (p *faultPlan) change(t *rapid.T) {
 	p.revision++
-	p.show(t, p.write(p.epoch, p.revision, "", rapid.IntRange(0, 4).Draw(t, "bad") != 0))
+	p.publishDrawn(t, p.declare(p.epoch, p.revision, "", rapid.IntRange(0, 4).Draw(t, "bad") != 0))
 }
 
-// race has two operators publish one after the other, seen in either order.
+// race publishes two versions in a row. Nodes may see them in reverse order.
 func (p *faultPlan) race(t *rapid.T) {
 	p.change(t)
 	p.change(t)
 	if rapid.Bool().Draw(t, "crossed") {
-		p.show(t, p.written[len(p.written)-2])
+		p.publishDrawn(t, p.written[len(p.written)-2])
 	}
 }
 
+// equivocate publishes different contents under one epoch and revision.
 func (p *faultPlan) equivocate(t *rapid.T) {
 	p.revision = max(p.revision, 1)
-	p.show(t, p.write(p.epoch, p.revision, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "variant"), true))
+	p.publishDrawn(t, p.declare(p.epoch, p.revision, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "variant"), true))
 }
 
-// restore brings back an old copy of the source, under a new epoch.
+// restore restores an old copy of the source under a new epoch, with a lower revision.
 func (p *faultPlan) restore(t *rapid.T) {
 	p.epoch++
 	p.revision = max(p.revision/2, 1)
-	p.show(t, p.write(p.epoch, p.revision, "", true))
+	p.publishDrawn(t, p.declare(p.epoch, p.revision, "", true))
 }
 
 func (p *faultPlan) staleSource(t *rapid.T) {
@@ -75,10 +77,10 @@
 	}
 }
 
-// secretLate keeps the secret's value from some readers, or brings it.
+// secretLate decides at random for each node whether it can read the secret's value.
 func (p *faultPlan) secretLate(t *rapid.T) {
 	for _, n := range p.nodes {
-		n.late = rapid.Bool().Draw(t, "late")
+		n.secretLate = rapid.Bool().Draw(t, "late")
 	}
 }
 
@@ -94,8 +96,8 @@
 
 func (p *faultPlan) restart(t *rapid.T) { p.node(t).start(drawOffset(t)) }
 
-// joinAll restarts the dead at once.
-func (p *faultPlan) joinAll(*rapid.T) {
+// restartDead starts all nodes without a process at once.
+func (p *faultPlan) restartDead(*rapid.T) {
 	for _, n := range p.nodes {
 		if n.process == nil {
 			n.start(0)
@@ -114,7 +116,7 @@
 
 func (p *faultPlan) drain(t *rapid.T) { p.node(t).drain() }
 
-// cut splits the fleet by zones or at random.
+// cut separates one zone from the others, or splits the fleet at random.
 func (p *faultPlan) cut(t *rapid.T) {
 	zone := p.node(t).zone
 	ragged := rapid.IntRange(0, 3).Draw(t, "ragged") == 0
@@ -126,38 +128,38 @@
 		if ragged {
 			side = rapid.IntRange(0, 1).Draw(t, "side")
 		}
-		n.side = side
+		n.partitionSide = side
 	}
 	p.linksChanged()
 }
 
 func (p *faultPlan) heal(*rapid.T) {
 	for _, n := range p.nodes {
-		n.side = 0
+		n.partitionSide = 0
 	}
 	p.linksChanged()
 }
 
-// linksChanged notes that the reach of nodes changed.
+// linksChanged records a change of links.
 func (f *fleet) linksChanged() {
-	f.changes++
-	f.healed = time.Now()
+	f.topologyChanges++
+	f.linksChangedAt = time.Now()
 }
 
 func (p *faultPlan) degrade(t *rapid.T) {
 	p.faults = linkFaults{
-		loss:    float64(rapid.IntRange(0, 3).Draw(t, "loss")) / 10,
-		twice:   float64(rapid.IntRange(0, 3).Draw(t, "twice")) / 10,
-		crossed: float64(rapid.IntRange(0, 3).Draw(t, "crossed")) / 10,
-		delay:   time.Duration(rapid.SampledFrom([]int{1, 20, 150}).Draw(t, "delay")) * time.Millisecond,
+		loss:      float64(rapid.IntRange(0, 3).Draw(t, "loss")) / 10,
+		duplicate: float64(rapid.IntRange(0, 3).Draw(t, "twice")) / 10,
+		reorder:   float64(rapid.IntRange(0, 3).Draw(t, "crossed")) / 10,
+		delay:     time.Duration(rapid.SampledFrom([]int{1, 20, 150}).Draw(t, "delay")) * time.Millisecond,
 	}
 	p.linksChanged()
 }
 
-// relist makes the machine list empty, or old: it names dead machines and lacks
-// some that live.
-func (p *faultPlan) relist(t *rapid.T) {
-	machines := p.trueList()
+// staleList makes the machine list empty or stale: terminated machines replace some
+// of the live ones.
+func (p *faultPlan) staleList(t *rapid.T) {
+	machines := p.completeList()
 	if rapid.Bool().Draw(t, "empty") {
 		machines = nil
 	}
@@ -167,26 +169,27 @@
 			machines[index] = membership.ListedMachine{Name: name, Zone: machines[index].Zone, Peer: name + ":7000"}
 		}
 	}
-	p.listed, p.listsAll = func() []membership.ListedMachine { return machines }, false
+	p.machineList, p.listComplete = func() []membership.ListedMachine { return machines }, false
 }
 
-func (p *faultPlan) pass(t *rapid.T) {
+// advance runs the simulation for a random time.
+func (p *faultPlan) advance(t *rapid.T) {
 	p.run(time.Duration(rapid.SampledFrom([]int{20, 200, 1000, 2500, 5000}).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-// quiet ends all faults but keeps the dead dead and the source away.
-func (p *faultPlan) quiet() {
+// endFaults ends all faults except that dead nodes stay dead and the source is down.
+func (p *faultPlan) endFaults() {
 	p.faults = linkFaults{}
-	p.listed, p.listsAll = p.trueList, true
+	p.machineList, p.listComplete = p.completeList, true
 	for _, n := range p.nodes {
-		n.side, n.source, n.late = 0, nil, false
+		n.partitionSide, n.source, n.secretLate = 0, nil, false
 		n.resume()
 	}
 	p.linksChanged()
 }
 
-// newestInForce returns the newest version in force at any live node.
-func (f *fleet) newestInForce() version.Version {
+// newestActive returns the newest active version of all live nodes.
+func (f *fleet) newestActive() version.Version {
 	var newest version.Version
 	for _, running := range f.live() {
 		newest = version.Max(newest, running.version)
@@ -194,101 +197,108 @@
 	return newest
 }
 
-// agreeFrom reports whether all live nodes serve one version not before a floor.
-func (f *fleet) agreeFrom(floor version.Version) bool {
+// convergedFrom reports whether all live nodes serve one version that is not older
+// than the minimum.
+func (f *fleet) convergedFrom(minVersion version.Version) bool {
 	live := f.live()
-	return !floor.After(live[0].version) && f.agreed(live[0].version)
+	return !minVersion.After(live[0].version) && f.converged(live[0].version)
 }
 
-// newestSound returns the newest edition that the validator takes.
-func (p *faultPlan) newestSound() *edition {
-	var newest *edition
+// newestValid returns the newest declarations that pass validation, nil if there are
+// none.
+func (p *faultPlan) newestValid() *declarationSet {
+	var newest *declarationSet
 	for _, e := range p.written {
-		if e.sound && (newest == nil || e.whole.Version().After(newest.whole.Version())) {
+		if e.valid && (newest == nil || e.complete.Version().After(newest.complete.Version())) {
 			newest = e
 		}
 	}
 	return newest
 }
 
-// checkAgreement requires the live nodes to agree: first without a source on no
-// less than what was in force at any of them, then with it on the newest version.
-func (p *faultPlan) checkAgreement(t *rapid.T) {
-	p.quiet()
-	floor := p.newestInForce()
-	if len(p.live()) > 1 && !floor.IsZero() {
-		took, done := p.until(agreementBound, func() bool { return p.agreeFrom(floor) })
-		must.True(t, done, must.Func(func() string { return fmt.Sprintf("without source, floor %s\n%s", floor, p.describe()) }))
-		longest.without = max(longest.without, took)
+// checkConvergence requires the live nodes to converge: first without a source, on a
+// version not older than the newest active one, then with it on the newest version.
+func (p *faultPlan) checkConvergence(t *rapid.T) {
+	p.endFaults()
+	minVersion := p.newestActive()
+	if len(p.live()) > 1 && !minVersion.IsZero() {
+		took, done := p.runUntil(convergenceBound, func() bool { return p.convergedFrom(minVersion) })
+		must.True(t, done, must.Func(func() string {
+			return fmt.Sprintf("not converged without source, minimum %s\n%s", minVersion, p.describe())
+		}))
+		maxConvergence.withoutSource = max(maxConvergence.withoutSource, took)
 		p.run(5 * time.Second)
-		must.True(t, p.agreeFrom(floor), must.Func(p.describe))
+		must.True(t, p.convergedFrom(minVersion), must.Func(p.describe))
 	}
 	if len(p.live()) == 0 {
 		p.nodes[0].start(0)
 	}
-	if p.newestSound() == nil {
+	if p.newestValid() == nil {
 		p.revision++
-		p.written = append(p.written, p.write(p.epoch, p.revision, "", true))
+		p.written = append(p.written, p.declare(p.epoch, p.revision, "", true))
 	}
-	newest := p.newestSound()
+	newest := p.newestValid()
 	p.publish(newest, p.nodes...)
-	took, done := p.until(agreementBound, func() bool { return p.agreed(newest.whole.Version()) })
-	must.True(t, done, must.Func(func() string { return fmt.Sprintf("with source, newest %s\n%s", newest.whole.Version(), p.describe()) }))
-	longest.with = max(longest.with, took)
+	took, done := p.runUntil(convergenceBound, func() bool { return p.converged(newest.complete.Version()) })
+	must.True(t, done, must.Func(func() string {
+		return fmt.Sprintf("not converged with source, newest %s\n%s", newest.complete.Version(), p.describe())
+	}))
+	maxConvergence.withSource = max(maxConvergence.withSource, took)
 	p.checkReaders()
-	took, done = p.until(agreementBound, p.endpointsAgree)
+	took, done = p.runUntil(convergenceBound, p.endpointsConverged)
 	must.True(t, done, must.Func(p.describe))
-	longest.endpoints = max(longest.endpoints, took)
+	maxConvergence.endpoints = max(maxConvergence.endpoints, took)
 }
 
-// endpointsAgree reports whether each live node's routes reach just the workers
-// that are ready.
-func (f *fleet) endpointsAgree() bool {
+// endpointsConverged reports whether the routes of each live node contain exactly
+// the ready workers as endpoints.
+func (f *fleet) endpointsConverged() bool {
 	ready := 0
 	for _, running := range f.live() {
-		if running.node.worker != "" && running.node.drained == nil {
+		if running.node.worker != "" && running.node.drainedAt == nil {
 			ready++
 		}
 	}
 	for _, running := range f.live() {
 		view, _ := running.holder.Current(running.clock())
 		endpoints := endpointsOf(view)
-		gone := slices.ContainsFunc(endpoints, func(e snapshot.Endpoint) bool {
+		unexpected := slices.ContainsFunc(endpoints, func(e snapshot.Endpoint) bool {
 			return !slices.ContainsFunc(f.live(), func(other *process) bool {
-				return other.node.name == e.Node && other.node.drained == nil
+				return other.node.name == e.Node && other.node.drainedAt == nil
 			})
 		})
-		if gone || len(endpoints) != ready {
+		if unexpected || len(endpoints) != ready {
 			return false
 		}
 	}
 	return true
 }
 
-// agreementBound is the longest time, after the last fault, until all live
-// nodes are ready with one version.
-const agreementBound = 30 * time.Second
+// convergenceBound is the maximum time, after the last fault, until all live nodes
+// are ready with one version.
+const convergenceBound = 30 * time.Second
 
-// longest are the longest times seen until agreement.
-var longest struct{ without, with, endpoints time.Duration }
+// maxConvergence holds the maximum measured times until convergence.
+var maxConvergence struct{ withoutSource, withSource, endpoints time.Duration }
 
-// checkReaders requires that soon no zone has more readers than it should.
+// checkReaders requires that within convergenceBound no zone has more than
+// readersPerZone readers.
 func (f *fleet) checkReaders() {
-	_, done := f.until(agreementBound, func() bool { return f.mostReaders() <= readersPerZone })
+	_, done := f.runUntil(convergenceBound, func() bool { return f.maxReaders() <= readersPerZone })
 	must.True(f.t, done, must.Func(f.describe))
 }
 
-// readersPerZone is distribution's default.
+// readersPerZone is the default of distribution.
 const readersPerZone = 2
 
-// mostReaders returns the number of readers in the zone that has most.
-func (f *fleet) mostReaders() int {
-	most, zones := 0, make(map[string]int)
+// maxReaders returns the number of readers in the zone with the most readers.
+func (f *fleet) maxReaders() int {
+	maximum, zones := 0, make(map[string]int)
 	for _, running := range f.live() {
 		if running.reader {
 			zones[running.node.zone]++
-			most = max(most, zones[running.node.zone])
+			maximum = max(maximum, zones[running.node.zone])
 		}
 	}
-	return most
+	return maximum
 }
--- a/internal/control/simulation/fleet_test.go
+++ b/internal/control/simulation/fleet_test.go
@@ -1,9 +1,9 @@
-// Package simulation runs whole nodes' control, control.Loop and claim.Keeper,
-// on a simulated network in virtual time, and checks each published view
-// against an oracle while faults are drawn at random.
+// Package simulation runs the control part of nodes, control.Loop and claim.Keeper,
+// on a simulated network in virtual time. It injects random faults and checks each
+// published view against an oracle.
 //
-// Runs are deterministic: each event of the simulation, a delivery, a tick or
-// an action of the test, has a moment of its own, so that at most one node acts
+// Runs are deterministic: each event of the simulation (a delivery, a tick or an
+// action of the test) takes place at its own instant, so that at most one node runs
 // at a time.
 package simulation
 
@@ -23,61 +23,61 @@
 	"sliphead/internal/version"
 )
 
-// class keeps the moments of concurrent kinds of event apart: an event of a
-// class takes place at a microsecond that leaves the class's remainder.
-type class int
+// eventClass separates the instants of concurrent kinds of events: an event takes
+// place at a microsecond whose remainder modulo eventClasses is its class.
+type eventClass int
 
 const (
-	classControl class = iota // messages of the loops
-	classClaim                // messages of the keepers
-	classSource               // reads of the source and the machine list
-	classTest                 // actions of the test
-	classes
+	classControl eventClass = iota // messages of control loops
+	classClaim                     // messages of claim keepers
+	classSource                    // reads of the source and the machine list
+	classTest                      // actions of the test
+	eventClasses
 )
 
-// fleet is the simulated world.
+// fleet is the simulation: its nodes, network and source, and the oracle's findings.
 type fleet struct {
-	t     must.T
-	began time.Time
-	nodes []*node
-
-	mutex     sync.Mutex
-	random    [classes]*rand.Rand
-	used      map[time.Duration]bool // moments taken, since began
-	lastOn    map[[2]string]time.Duration
-	faults    linkFaults
-	published map[version.Version]*edition
-	listed    func() []membership.ListedMachine
-	listsAll  bool // whether the list is true
-	failures  []string
-	trace     uint64 // hash over all deliveries and views
-	changes   int    // of the fleet's processes and links
-	counts    map[string]int
-	healed    time.Time // when a cut last ended
-}
-
-// simulate runs a body on a fleet in a bubble of virtual time. A panic of the
-// body, as rapid raises, passes through.
+	t         must.T
+	startedAt time.Time
+	nodes     []*node
+
+	mutex            sync.Mutex
+	random           [eventClasses]*rand.Rand
+	reservedInstants map[time.Duration]bool // reserved instants, since startedAt
+	lastDelivery     map[[2]string]time.Duration
+	faults           linkFaults
+	published        map[version.Version]*declarationSet
+	machineList      func() []membership.ListedMachine
+	listComplete     bool // whether machineList returns all machines
+	violations       []string
+	trace            uint64 // hash over all deliveries
+	topologyChanges  int    // number of changes of processes and links
+	counts           map[string]int
+	linksChangedAt   time.Time // when links last changed
+}
+
+// simulate runs a body on a fleet in a synctest bubble with virtual time. It passes
+// on a panic of the body, as raised by rapid.
 func simulate(t *testing.T, body func(*testing.T, *fleet)) {
 	t.Helper()
 	var raised any
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
-			began:  time.Now(),
-			used:   make(map[time.Duration]bool),
-			lastOn: make(map[[2]string]time.Duration), published: make(map[version.Version]*edition),
+			startedAt:        time.Now(),
+			reservedInstants: make(map[time.Duration]bool),
+			lastDelivery:     make(map[[2]string]time.Duration), published: make(map[version.Version]*declarationSet),
 			counts: make(map[string]int),
 		}
 		defer f.stopAll()
 		defer func() { raised = recover() }()
 		body(t, f)
 	})
-	raise(raised)
+	repanic(raised)
 }
 
-// raise lets a panic go on. rapid tells failures apart by where they come from,
-// so each kind has a line of its own.
-func raise(raised any) {
+// repanic raises a recovered panic again. rapid distinguishes failures by their
+// stack trace, so each kind is raised on its own line.
+func repanic(raised any) {
 	switch fmt.Sprintf("%T", raised) {
 	case "<nil>":
 	case "rapid.stopTest":
@@ -87,7 +87,7 @@
 	}
 }
 
-// setUp makes the nodes, without starting them.
+// setUp creates the nodes without starting them.
 func (f *fleet) setUp(t must.T, seed uint64, nodes, zones int) {
 	f.t = t
 	for index := range f.random {
@@ -104,11 +104,11 @@
 		}
 		f.nodes = append(f.nodes, n)
 	}
-	f.listed, f.listsAll = f.trueList, true
+	f.machineList, f.listComplete = f.completeList, true
 }
 
-// trueList names all machines.
-func (f *fleet) trueList() []membership.ListedMachine {
+// completeList returns a machine list with all nodes.
+func (f *fleet) completeList() []membership.ListedMachine {
 	var machines []membership.ListedMachine
 	for _, n := range f.nodes {
 		machines = append(machines, membership.ListedMachine{Name: n.name, Zone: n.zone, Peer: n.address()})
@@ -116,91 +116,92 @@
 	return machines
 }
 
-// moment returns the wait to a moment of a class that is still free, at least
-// the given wait from now. The mutex is held.
-func (f *fleet) moment(of class, wait time.Duration) time.Duration {
-	elapsed := time.Since(f.began)
-	step := time.Duration(classes) * time.Microsecond
-	at := (elapsed+wait)/step*step + step + time.Duration(of)*time.Microsecond
-	for f.used[at] {
+// reserveInstant reserves an unused instant of a class, at least wait from now, and
+// returns the time until then. The caller holds the mutex.
+func (f *fleet) reserveInstant(class eventClass, wait time.Duration) time.Duration {
+	elapsed := time.Since(f.startedAt)
+	step := time.Duration(eventClasses) * time.Microsecond
+	at := (elapsed+wait)/step*step + step + time.Duration(class)*time.Microsecond
+	for f.reservedInstants[at] {
 		at += step
 	}
-	f.used[at] = true
+	f.reservedInstants[at] = true
 	return at - elapsed
 }
 
-// after runs an action at a moment of its own.
-func (f *fleet) after(of class, wait time.Duration, action func()) {
+// after runs an action at its own instant, at least wait from now.
+func (f *fleet) after(class eventClass, wait time.Duration, action func()) {
 	f.mutex.Lock()
-	delay := f.moment(of, wait)
+	delay := f.reserveInstant(class, wait)
 	f.mutex.Unlock()
 	time.AfterFunc(delay, f.ordered(action))
 }
 
-// ordered tells the race detector what virtual time guarantees: that an action
-// comes after all that came before it. The actions of different moments never
-// overlap.
+// ordered makes the order of actions visible to the race detector. Virtual time
+// already guarantees that actions at different instants never overlap.
 func (f *fleet) ordered(action func()) func() {
 	return func() {
-		f.touch()
+		f.synchronize()
 		action()
-		f.touch()
+		f.synchronize()
 	}
 }
 
-func (f *fleet) touch() {
+func (f *fleet) synchronize() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 }
 
-// settle waits until all that the last action caused has been done.
-func (f *fleet) settle() {
-	f.touch()
+// waitIdle waits until all effects of the last action have been handled.
+func (f *fleet) waitIdle() {
+	f.synchronize()
 	synctest.Wait()
-	f.touch()
+	f.synchronize()
 }
 
-// run lets time pass, and fails the test on what the oracle found.
+// run advances virtual time, and fails the test on violations found by the oracle.
 func (f *fleet) run(span time.Duration) {
 	const sample = 100 * time.Millisecond
-	for end := time.Since(f.began) + span; time.Since(f.began) < end; {
+	for end := time.Since(f.startedAt) + span; time.Since(f.startedAt) < end; {
 		f.mutex.Lock()
-		delay := f.moment(classTest, min(sample, end-time.Since(f.began)))
+		delay := f.reserveInstant(classTest, min(sample, end-time.Since(f.startedAt)))
 		f.mutex.Unlock()
 		time.Sleep(delay)
-		f.settle()
-		f.sample()
+		f.waitIdle()
+		f.checkAll()
 	}
 }
 
-// until lets time pass until a condition holds, and returns how long it took.
-func (f *fleet) until(bound time.Duration, condition func() bool) (time.Duration, bool) {
-	began := time.Now()
+// runUntil advances virtual time until the condition holds or the bound has passed.
+// It returns the time taken and whether the condition holds.
+func (f *fleet) runUntil(bound time.Duration, condition func() bool) (time.Duration, bool) {
+	start := time.Now()
 	for !condition() {
-		if time.Since(began) > bound {
-			return time.Since(began), false
+		if time.Since(start) > bound {
+			return time.Since(start), false
 		}
 		f.run(50 * time.Millisecond)
 	}
-	return time.Since(began), true
+	return time.Since(start), true
 }
 
-// fail notes what the oracle found; the test's goroutine reports it.
-func (f *fleet) fail(format string, args ...any) {
+// recordViolation records a violation found by the oracle. The test's goroutine
+// reports it.
+func (f *fleet) recordViolation(format string, args ...any) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.failures = append(f.failures, fmt.Sprintf("%s: ", time.Since(f.began))+fmt.Sprintf(format, args...))
+	f.violations = append(f.violations, fmt.Sprintf("%s: ", time.Since(f.startedAt))+fmt.Sprintf(format, args...))
 }
 
-func (f *fleet) report() {
+func (f *fleet) failOnViolations() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if len(f.failures) > 0 {
-		f.t.Fatalf("%d violations:\n%s", len(f.failures), strings.Join(f.failures, "\n"))
+	if len(f.violations) > 0 {
+		f.t.Fatalf("%d violations:\n%s", len(f.violations), strings.Join(f.violations, "\n"))
 	}
 }
 
-// live returns the processes that live, paused ones included.
+// live returns the live processes, paused ones included.
 func (f *fleet) live() []*process {
 	var live []*process
 	for _, n := range f.nodes {
@@ -223,8 +224,8 @@
 	}
 }
 
-// agreed reports whether all live nodes serve one version.
-func (f *fleet) agreed(v version.Version) bool {
+// converged reports whether all live nodes serve the given version.
+func (f *fleet) converged(v version.Version) bool {
 	for _, p := range f.live() {
 		view, current := p.holder.Current(p.clock())
 		if !current || view.Version != v {
@@ -234,7 +235,7 @@
 	return true
 }
 
-// describe returns the state of all live nodes.
+// describe returns the state of all live nodes, for failure messages.
 func (f *fleet) describe() string {
 	text := ""
 	for _, p := range f.live() {
@@ -243,7 +244,7 @@
 		cancel()
 		_, current := p.holder.Current(p.clock())
 		text += fmt.Sprintf("%s side %d paused %t current %t: %d members, %+v\n",
-			p.node.name, p.node.side, p.gate != nil, current, len(status.Members), status.Distribution)
+			p.node.name, p.node.partitionSide, p.resumeSignal != nil, current, len(status.Members), status.Distribution)
 	}
 	return text
 }
--- a/internal/control/simulation/oracle_test.go
+++ b/internal/control/simulation/oracle_test.go
@@ -9,68 +9,70 @@
 )
 
 const (
-	drainBound     = 5 * time.Second // until no view names an endpoint that drains
-	catchUpTimeout = 3 * time.Second // of distribution's defaults
+	drainBound     = 5 * time.Second // maximum time for which views contain a draining endpoint
+	catchUpTimeout = 3 * time.Second // default of distribution
 )
 
-// catching is what the oracle expects of a process that started or resumed.
-type catching struct {
-	due     bool            // whether it has still to become current
-	since   time.Time       // of the start or the resumption
-	changes int             // of the fleet, by then
-	floor   version.Version // at least in force on every node within reach, then
-	heard   bool            // whether something came that was sent since
+// catchUpExpectation is what the oracle expects of a process that started or resumed.
+type catchUpExpectation struct {
+	pending         bool            // whether the process has yet to become current
+	since           time.Time       // of the start or the resumption
+	topologyChanges int             // fleet.topologyChanges at that time
+	minVersion      version.Version // minimum active version of the reachable nodes at that time
+	received        bool            // whether a message sent after since has arrived
 }
 
-// floorFor returns what a process that starts or resumes now must not be behind.
-func (f *fleet) floorFor(p *process) catching {
-	found := catching{due: true, since: time.Now(), changes: f.changes}
-	for index, other := range f.withinReach(p) {
-		if index == 0 || found.floor.After(other.version) {
-			found.floor = other.version
+// expectCatchUp returns the expectation for a process that starts or resumes now.
+func (f *fleet) expectCatchUp(p *process) catchUpExpectation {
+	found := catchUpExpectation{pending: true, since: time.Now(), topologyChanges: f.topologyChanges}
+	for index, other := range f.reachable(p) {
+		if index == 0 || found.minVersion.After(other.version) {
+			found.minVersion = other.version
 		}
 	}
 	return found
 }
 
-// withinReach returns the other processes that a process can reach now.
-func (f *fleet) withinReach(p *process) []*process {
+// reachable returns the other running processes on the same side of the cut.
+func (f *fleet) reachable(p *process) []*process {
 	return slices.DeleteFunc(f.live(), func(other *process) bool {
-		return other.node == p.node || other.gate != nil || other.node.side != p.node.side
+		return other.node == p.node || other.resumeSignal != nil || other.node.partitionSide != p.node.partitionSide
 	})
 }
 
-func (p *process) heard(sent time.Time) {
-	if sent.After(p.catching.since) {
-		p.catching.heard = true
+func (p *process) recordArrival(sent time.Time) {
+	if sent.After(p.catchUp.since) {
+		p.catchUp.received = true
 	}
 }
 
-// checkView checks a view that was just published.
+// checkView verifies a view that was just published: its version is not older than
+// the previous one, was published by the source and is valid, and its routes are
+// those of the complete version.
 func (f *fleet) checkView(p *process) {
 	view, _ := p.holder.Current(p.clock())
 	name := p.node.name
 	if p.version.After(view.Version) {
-		f.fail("%s went back from %s to %s", name, p.version, view.Version)
+		f.recordViolation("%s rolled back from %s to %s", name, p.version, view.Version)
 	}
 	p.version = view.Version
 	f.mutex.Lock()
 	e := f.published[view.Version]
 	f.mutex.Unlock()
-	if e == nil || !e.sound {
-		f.fail("%s has %s in force, which was not published or is bad", name, view.Version)
+	if e == nil || !e.valid {
+		f.recordViolation("%s has activated %s, which was not published or is invalid", name, view.Version)
 		return
 	}
 	endpoints := endpointsOf(view)
-	wanted, err := snapshot.Resolve(e.whole, snapshot.ResolveInput{
+	expected, err := snapshot.Resolve(e.complete, snapshot.ResolveInput{
 		At: view.Resolved, Overlap: overlap, LocalWorker: p.node.worker, Endpoints: endpoints,
 	})
 	if err != nil {
-		f.fail("%s: %v", name, err)
+		f.recordViolation("%s: %v", name, err)
 		return
 	}
-	if !slices.EqualFunc(wanted.Routes, view.Routes, sameRoute) {
-		f.fail("%s has a view of %s that is not that of the whole version", name, view.Version)
+	if !slices.EqualFunc(expected.Routes, view.Routes, sameRoute) {
+		f.recordViolation("%s has a view of %s that differs from the view of the complete version", name, view.Version)
 	}
 }
 
@@ -92,14 +94,14 @@
 		a.Credential == b.Credential && a.LocalAllowed == b.LocalAllowed && slices.Equal(a.Endpoints, b.Endpoints)
 }
 
-// check looks at a process between two events of its loop.
+// check verifies a process between two events of its loop.
 func (p *process) check() {
 	if p.isDead() {
 		return
 	}
 	view, current := p.holder.Current(p.clock())
-	if current && p.catching.due {
-		p.catching.due = false
+	if current && p.catchUp.pending {
+		p.catchUp.pending = false
 		p.checkCaughtUp(view)
 	}
 	p.current = current
@@ -108,40 +110,41 @@
 	}
 }
 
-// checkCaughtUp checks a process that just became current.
+// checkCaughtUp verifies a process that just became current.
 func (p *process) checkCaughtUp(view *snapshot.View) {
-	f, c := p.node.fleet, p.catching
-	if !c.heard && time.Since(c.since) < catchUpTimeout {
-		f.fail("%s is current before it heard anything", p.node.name)
+	f, c := p.node.fleet, p.catchUp
+	if !c.received && time.Since(c.since) < catchUpTimeout {
+		f.recordViolation("%s is current before it has received any message", p.node.name)
 	}
-	if f.changes != c.changes {
-		return // whom it might have heard is not who was there
+	if f.topologyChanges != c.topologyChanges {
+		return // the reachable nodes have changed, so the expectation no longer holds
 	}
-	if p.logged["catchup.alone"] > 0 && !f.mustMeet(p) {
-		return // it says itself that it met nobody
+	if p.logCounts["catchup.alone"] > 0 && !f.mustFindPeer(p) {
+		return // it has logged that it found no peer
 	}
-	if c.floor.After(view.Version) {
-		f.fail("%s is current with %s, all within its reach had %s", p.node.name, view.Version, c.floor)
+	if c.minVersion.After(view.Version) {
+		f.recordViolation("%s is current with %s, although all reachable nodes had at least %s", p.node.name, view.Version, c.minVersion)
 	}
 }
 
-// mustMeet reports whether a node has an address of another that lives, and a
-// network that loses nothing.
-func (f *fleet) mustMeet(p *process) bool {
-	return f.faults.loss == 0 && len(f.withinReach(p)) > 0 && f.listsAll
+// mustFindPeer reports whether a process must find a peer: it has the address of a
+// reachable process, and the network loses no message.
+func (f *fleet) mustFindPeer(p *process) bool {
+	return f.faults.loss == 0 && len(f.reachable(p)) > 0 && f.listComplete
 }
 
-// checkDrained checks that a view in use names no endpoint that drains for long.
+// checkDrained verifies that a view in use contains no endpoint that has been
+// draining for longer than drainBound.
 func (p *process) checkDrained(view *snapshot.View) {
 	f := p.node.fleet
 	for _, endpoint := range endpointsOf(view) {
 		for _, n := range f.nodes {
-			if n.name != endpoint.Node || n.drained == nil || n.side != p.node.side || n.process == nil {
+			if n.name != endpoint.Node || n.drainedAt == nil || n.partitionSide != p.node.partitionSide || n.process == nil {
 				continue
 			}
-			from := latest(*n.drained, f.healed, p.started, n.process.started)
+			from := latest(*n.drainedAt, f.linksChangedAt, p.started, n.process.started)
 			if time.Since(from) > drainBound {
-				f.fail("%s sends to %s, which drains for %s", p.node.name, n.name, time.Since(*n.drained))
+				f.recordViolation("%s sends to %s, which has been draining for %s", p.node.name, n.name, time.Since(*n.drainedAt))
 			}
 		}
 	}
@@ -149,30 +152,30 @@
 
 func latest(moments ...time.Time) time.Time { return slices.MaxFunc(moments, time.Time.Compare) }
 
-// checkResumption checks, before anything else runs, that traffic of a process
-// that was paused for longer than the lease can't use its view.
+// checkResumption verifies, before the resumed process runs, that traffic can't use
+// its view after a pause longer than the lease.
 func (f *fleet) checkResumption(p *process) {
-	if time.Since(p.paused) <= lease {
+	if time.Since(p.pausedAt) <= lease {
 		return
 	}
 	if _, current := p.holder.Current(p.clock()); current {
-		f.fail("%s may send after a pause of %s", p.node.name, time.Since(p.paused))
+		f.recordViolation("%s may still use its view after a pause of %s", p.node.name, time.Since(p.pausedAt))
 	}
-	p.catching = f.floorFor(p)
-	p.catching.changes++ // the resumption itself
+	p.catchUp = f.expectCatchUp(p)
+	p.catchUp.topologyChanges++ // the resumption itself
 }
 
-// sample looks at all processes.
-func (f *fleet) sample() {
+// checkAll verifies all processes that are not paused, and reports violations.
+func (f *fleet) checkAll() {
 	for _, p := range f.live() {
-		if p.gate == nil {
+		if p.resumeSignal == nil {
 			p.check()
 		}
 	}
-	f.report()
+	f.failOnViolations()
 }
 
-// readers counts the processes that have the duty to read the source.
+// readers returns the number of processes that have the duty to read the source.
 func (f *fleet) readers() int {
 	count := 0
 	for _, p := range f.live() {
--- a/internal/control/simulation/process_test.go
+++ b/internal/control/simulation/process_test.go
@@ -19,39 +19,39 @@
 	"sliphead/internal/wire"
 )
 
-// The periods of a node.
+// Timing of a node.
 const (
-	lease        = 2 * time.Second
-	controlTick  = 50 * time.Millisecond
-	overlap      = 10 * time.Second
-	sourcePeriod = 200 * time.Millisecond
-	listPeriod   = 2 * time.Second
-	keeperPhase  = time.Nanosecond        // after the loop
-	warmUp       = 300 * time.Millisecond // of a worker
+	lease            = 2 * time.Second
+	controlTick      = 50 * time.Millisecond
+	overlap          = 10 * time.Second
+	sourcePeriod     = 200 * time.Millisecond
+	listPeriod       = 2 * time.Second
+	keeperStartDelay = time.Nanosecond        // delay of the keeper's start after the loop's
+	warmUp           = 300 * time.Millisecond // time until a started worker is ready
 )
 
-// node is a machine's place in the fleet. Its process comes and goes.
+// node is a machine of the fleet. It has at most one process at a time.
 type node struct {
-	fleet   *fleet
-	index   int
-	name    string
-	zone    string
-	worker  string // "" at an edge
-	seeds   []string
-	side    int        // of the cut
-	source  *edition   // what the source shows this node, nil for an outage
-	late    bool       // whether the source lacks the secret for this node
-	drained *time.Time // when the worker began to drain, nil before
-	process *process
+	fleet         *fleet
+	index         int
+	name          string
+	zone          string
+	worker        string // "" at an edge
+	seeds         []string
+	partitionSide int             // side of the cut
+	source        *declarationSet // what this node reads from the source, nil for an outage
+	secretLate    bool            // whether this node reads no value of the secret yet
+	drainedAt     *time.Time      // when the worker began to drain, nil before
+	process       *process
 }
 
 func (n *node) address() string { return n.name + ":7000" }
 
-// process is one life of a node, from its start to its death.
+// process is one process of a node, from its start to its end.
 type process struct {
 	node    *node
 	started time.Time
-	offset  time.Duration // of its wall clock
+	offset  time.Duration // of its wall clock from virtual time
 	holder  *snapshot.Holder
 	loop    *control.Loop
 	keeper  *claim.Keeper
@@ -59,41 +59,42 @@
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
-	gate      chan struct{} // closed on resume, nil while it runs
-	clockRead bool          // whether the pause came after the clock was read
-	paused    time.Time
-	held      []func() // what reached the machine during the pause
-	dead      bool
-	reader    bool
-	hadRead   bool     // whether it ever read the source
-	emitted   emission // what its reader of the source told last
-	logged    map[string]int
-	version   version.Version // of the newest view, by the oracle
-	current   bool            // whether traffic might use it, by the last look
-	catching  catching
+	resumeSignal  chan struct{} // closed on resume, nil while the process runs
+	clockRead     bool          // whether the process is paused after it has read the clock
+	pausedAt      time.Time
+	buffered      []func() // inputs that arrived during the pause
+	dead          bool
+	reader        bool
+	hasReadSource bool          // whether the process has ever read the source
+	lastReported  sourceContent // what it last reported to the loop from the source
+	logCounts     map[string]int
+	version       version.Version // of the newest view, recorded by the oracle
+	current       bool            // whether traffic could use the view at the last check
+	catchUp       catchUpExpectation
 }
 
-// emission is what a reader of the source tells the loop.
-type emission struct {
-	shown *edition
-	late  bool
+// sourceContent is what a reader of the source reports to the loop.
+type sourceContent struct {
+	declarations *declarationSet
+	secretLate   bool
 }
 
-// start starts a process without memory, with a wall clock that is off.
+// start kills the node's process, if any, and starts a new one without state, whose
+// wall clock is off by the offset.
 func (n *node) start(offset time.Duration) {
 	f := n.fleet
 	n.kill()
 	f.mutex.Lock()
-	delay := f.moment(classTest, 0)
+	delay := f.reserveInstant(classTest, 0)
 	seed := f.random[classTest].Uint64()
-	f.changes++
+	f.topologyChanges++
 	f.mutex.Unlock()
-	// Each node's tickers have a phase of their own, in nanoseconds.
+	// Tickers of different nodes differ by nanoseconds, so that none coincide.
 	time.Sleep(delay + time.Duration(2*n.index+1))
-	f.settle()
-	p := &process{node: n, started: time.Now(), offset: offset, holder: &snapshot.Holder{}, logged: make(map[string]int)}
+	f.waitIdle()
+	p := &process{node: n, started: time.Now(), offset: offset, holder: &snapshot.Holder{}, logCounts: make(map[string]int)}
 	p.context, p.cancel = context.WithCancel(context.Background())
-	p.catching = f.floorFor(p)
+	p.catchUp = f.expectCatchUp(p)
 	p.keeper = claim.NewKeeper(claim.KeeperConfig{
 		Config: claim.Config{Node: n.name, Worker: n.worker, Retry: 500 * time.Millisecond, Random: rand.New(rand.NewPCG(seed, 1))},
 		Send:   func(outgoing wire.Outgoing) { p.loop.Send(outgoing) },
@@ -101,12 +102,12 @@
 	})
 	p.loop = control.New(p.config(seed))
 	n.process = p
-	n.drained = nil
+	n.drainedAt = nil
 	p.running.Go(func() { _ = p.loop.Run(p.context) })
-	f.settle()
-	time.Sleep(keeperPhase)
+	f.waitIdle()
+	time.Sleep(keeperStartDelay)
 	p.running.Go(func() { _ = p.keeper.Run(p.context) })
-	f.settle()
+	f.waitIdle()
 	if n.worker != "" {
 		f.after(classSource, warmUp, func() { p.setEndpoint(wire.EndpointReady) })
 	}
@@ -134,14 +135,14 @@
 		Sender: sender{p}, Claims: claims{p},
 		Lease: lease, Tick: controlTick, Overlap: overlap, LocalWorker: n.worker,
 		Now:    p.now,
-		Logger: &log.Logger{Handler: log.HandlerFunc(p.note), Level: log.InfoLevel},
+		Logger: &log.Logger{Handler: log.HandlerFunc(p.countLog), Level: log.InfoLevel},
 		OnReader: func(reader bool) {
-			n.fleet.ordered(func() { p.reader, p.emitted = reader, emission{} })()
+			n.fleet.ordered(func() { p.reader, p.lastReported = reader, sourceContent{} })()
 		},
 	}
 }
 
-// validate is the check that each node makes of a version.
+// validate is the validation of a version that each node runs.
 func validate(set *snapshot.Set) error {
 	if findings := set.Validate(); len(findings) > 0 {
 		return fault.New(fault.Declaration, findings[0].Remedy, "%s", findings[0].What)
@@ -149,46 +150,46 @@
 	return nil
 }
 
-// note counts what the loop logs.
-func (p *process) note(entry *log.Entry) error {
+// countLog counts the loop's log entries by event name.
+func (p *process) countLog(entry *log.Entry) error {
 	p.node.fleet.mutex.Lock()
 	defer p.node.fleet.mutex.Unlock()
-	p.logged[entry.Message]++
+	p.logCounts[entry.Message]++
 	p.node.fleet.counts[entry.Message]++
 	return nil
 }
 
-// clock is the process's wall clock.
+// clock returns the process's wall clock time.
 func (p *process) clock() time.Time { return time.Now().Add(p.offset) }
 
-// now is the loop's clock. A paused process stops here, just before it reads
-// the clock or just after, with an event that it has taken from its queue.
+// now is the loop's clock. A paused process blocks here, just before or just after
+// it reads the clock, with an event that it has taken from its queue.
 func (p *process) now() time.Time {
 	p.node.fleet.mutex.Lock()
-	gate, read := p.gate, p.clock()
-	if gate != nil && p.clockRead {
-		p.paused = time.Now() // it ran until here
+	signal, read := p.resumeSignal, p.clock()
+	if signal != nil && p.clockRead {
+		p.pausedAt = time.Now() // the process ran until here
 	}
 	p.node.fleet.mutex.Unlock()
-	if gate != nil {
-		<-gate
+	if signal != nil {
+		<-signal
 	}
 	p.node.fleet.ordered(p.check)()
-	if gate != nil && p.clockRead {
+	if signal != nil && p.clockRead {
 		return read
 	}
 	return p.clock()
 }
 
-// reach runs what reaches the machine from outside, or keeps it for after the
-// pause as the operating system does.
-func (p *process) reach(action func()) {
-	const buffered = 512
+// runOrBuffer runs an input from outside the process. During a pause it buffers the
+// input, as the operating system does.
+func (p *process) runOrBuffer(action func()) {
+	const maxBuffered = 512
 	f := p.node.fleet
 	f.mutex.Lock()
-	dead, paused := p.dead, p.gate != nil
-	if paused && len(p.held) < buffered {
-		p.held = append(p.held, action)
+	dead, paused := p.dead, p.resumeSignal != nil
+	if paused && len(p.buffered) < maxBuffered {
+		p.buffered = append(p.buffered, action)
 	}
 	f.mutex.Unlock()
 	if !dead && !paused {
@@ -197,10 +198,11 @@
 }
 
 func (p *process) setEndpoint(state wire.EndpointState) {
-	p.reach(func() { p.loop.SetEndpoint(p.context, state) })
+	p.runOrBuffer(func() { p.loop.SetEndpoint(p.context, state) })
 }
 
-// readSource is the reader of the source: on duty it tells what is new.
+// readSource periodically reads the source while the process has the reader duty, and
+// reports changes and outages to the loop.
 func (p *process) readSource() {
 	if p.isDead() {
 		return
@@ -209,19 +211,20 @@
 	if !p.reader || p.isPaused() {
 		return
 	}
-	shown := emission{p.node.source, p.node.late}
-	if shown.shown == nil {
+	content := sourceContent{p.node.source, p.node.secretLate}
+	if content.declarations == nil {
 		p.loop.SourceFailed(p.context, fault.New(fault.Source, "wait", "the source is down"))
 		return
 	}
-	if shown == p.emitted {
+	if content == p.lastReported {
 		return
 	}
-	p.emitted, p.hadRead = shown, true
-	p.loop.SourceRead(p.context, shown.shown.set(shown.late))
+	p.lastReported, p.hasReadSource = content, true
+	p.loop.SourceRead(p.context, content.declarations.set(content.secretLate))
 }
 
-// readMachines reads the machine list on duty, or when no other node is known.
+// readMachines periodically reads the machine list while the process has the reader
+// duty or no other member.
 func (p *process) readMachines() {
 	if p.isDead() {
 		return
@@ -231,7 +234,7 @@
 		return
 	}
 	if status := p.loop.Status(p.context); p.reader || len(status.Members) <= 1 {
-		p.loop.MachinesRead(p.context, p.node.fleet.listed())
+		p.loop.MachinesRead(p.context, p.node.fleet.machineList())
 	}
 }
 
@@ -244,10 +247,10 @@
 func (p *process) isPaused() bool {
 	p.node.fleet.mutex.Lock()
 	defer p.node.fleet.mutex.Unlock()
-	return p.gate != nil
+	return p.resumeSignal != nil
 }
 
-// kill ends the process at once.
+// kill ends the node's process at once.
 func (n *node) kill() {
 	p := n.process
 	if p == nil {
@@ -256,61 +259,62 @@
 	f := n.fleet
 	f.mutex.Lock()
 	p.dead = true
-	gate := p.gate
-	p.gate = nil
-	f.changes++
+	signal := p.resumeSignal
+	p.resumeSignal = nil
+	f.topologyChanges++
 	f.mutex.Unlock()
 	p.cancel()
-	if gate != nil {
-		close(gate)
+	if signal != nil {
+		close(signal)
 	}
 	p.running.Wait()
-	f.touch()
+	f.synchronize()
 	n.process = nil
 }
 
-// freeze stops the process as SIGSTOP does.
+// freeze pauses the process as SIGSTOP does. With clockRead the pause begins after it
+// has read the clock for an event.
 func (n *node) freeze(clockRead bool) {
 	p := n.process
-	if p == nil || p.gate != nil {
+	if p == nil || p.resumeSignal != nil {
 		return
 	}
 	f := n.fleet
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	p.gate = make(chan struct{})
-	p.paused, p.clockRead = time.Now(), clockRead
-	f.changes++
+	p.resumeSignal = make(chan struct{})
+	p.pausedAt, p.clockRead = time.Now(), clockRead
+	f.topologyChanges++
 }
 
-// resume lets a paused process run on, with all that came meanwhile.
+// resume continues a paused process and passes it the buffered inputs.
 func (n *node) resume() {
 	p := n.process
-	if p == nil || p.gate == nil {
+	if p == nil || p.resumeSignal == nil {
 		return
 	}
 	f := n.fleet
 	f.checkResumption(p)
 	f.mutex.Lock()
-	gate, held := p.gate, p.held
-	p.gate, p.held = nil, nil
-	f.changes++
+	signal, buffered := p.resumeSignal, p.buffered
+	p.resumeSignal, p.buffered = nil, nil
+	f.topologyChanges++
 	f.mutex.Unlock()
-	close(gate)
-	f.settle()
-	for _, action := range held {
-		f.after(classTest, 0, func() { p.reach(action) })
+	close(signal)
+	f.waitIdle()
+	for _, action := range buffered {
+		f.after(classTest, 0, func() { p.runOrBuffer(action) })
 	}
 }
 
-// drain starts a planned stop: the worker takes no new requests from now on.
+// drain starts a planned stop: the worker accepts no new requests from now on.
 func (n *node) drain() {
 	p := n.process
-	if p == nil || n.worker == "" || n.drained != nil || p.gate != nil {
+	if p == nil || n.worker == "" || n.drainedAt != nil || p.resumeSignal != nil {
 		return
 	}
 	now := time.Now()
-	n.drained = &now
-	p.reach(func() { p.loop.Drain(p.context) })
-	n.fleet.settle()
+	n.drainedAt = &now
+	p.runOrBuffer(func() { p.loop.Drain(p.context) })
+	n.fleet.waitIdle()
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -9,7 +9,7 @@
 	"sliphead/internal/wire"
 )
 
-// Status is what a node says of its control state, for operators.
+// Status is a node's control state as shown to operators.
 type Status struct {
 	Name         string              `json:"name"`
 	Zone         string              `json:"zone"`
@@ -19,18 +19,18 @@
 	Clock        string              `json:"clockCorrection"`
 	Members      []wire.Member       `json:"members"`
 	Distribution distribution.Status `json:"distribution"`
-	// PeerVersions are the versions in force at peers, as they last said.
+	// PeerVersions are the active versions of peers, as last reported by them.
 	PeerVersions map[string]version.Version `json:"peerVersions"`
 	ResolvedAt   time.Time                  `json:"resolvedAt"`
 	NextBoundary time.Time                  `json:"nextScheduleBoundary"`
 }
 
-// status gathers the state. Only the loop calls it.
+// status returns the current state. Only the loop may call it.
 func (l *Loop) status(now time.Time) Status {
 	return Status{
 		Name:         l.config.Membership.Self.Name,
 		Zone:         l.config.Membership.Self.Zone,
-		Ready:        l.fresh && !l.leaving,
+		Ready:        l.ready && !l.leaving,
 		Leaving:      l.leaving,
 		Version:      l.distribution.Active().Version(),
 		Clock:        l.clock.correction().String(),
--- a/internal/control/suspend_test.go
+++ b/internal/control/suspend_test.go
@@ -8,15 +8,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// clockReading is the layout of a time.Time that has a monotonic reading.
+// clockReading has the memory layout of a time.Time with a monotonic clock reading.
 type clockReading struct {
 	wall      uint64
 	monotonic int64
 	location  *time.Location
 }
 
-// suspended returns a later reading of the clocks of a machine whose monotonic
-// clock stood still: only the wall clock moved.
+// suspended returns a later clock reading of a machine that was suspended: only the
+// wall clock has advanced, the monotonic clock has not.
 func suspended(t *testing.T, before time.Time, wall time.Duration) time.Time {
 	t.Helper()
 	after := before.Add(wall)
@@ -26,21 +26,22 @@
 	return after
 }
 
-// TestSuspendCountsAsAPause stops the monotonic clock for longer than a lease.
-func TestSuspendCountsAsAPause(t *testing.T) {
-	p := newReadyAt(t, time.Now())
+// The monotonic clock does not advance while a machine is suspended, so the pause is
+// visible on the wall clock only.
+func TestSuspendCountsAsPause(t *testing.T) {
+	p := newReadyLoopAt(t, time.Now())
 	p.now = suspended(t, p.now, pauseTestLease+time.Millisecond)
-	must.False(t, p.mayServe(), must.Sprint("before the loop runs"))
+	must.False(t, p.mayServe(), must.Sprint("served before the loop ran"))
 	p.loop.handle(tick{}, p.now)
 	must.False(t, p.mayServe())
 	must.True(t, p.loop.confirmation.pending)
 }
 
-// TestWallClockSetBackIsNoPause sets the wall clock back by an hour, and forward
-// by less than a lease.
-func TestWallClockSetBackIsNoPause(t *testing.T) {
+// Neither a wall clock set back nor one set forward by less than a lease may count as
+// a pause.
+func TestSmallWallClockChangeIsNoPause(t *testing.T) {
 	for _, jump := range []time.Duration{-time.Hour, pauseTestLease / 2} {
-		p := newReadyAt(t, time.Now())
+		p := newReadyLoopAt(t, time.Now())
 		p.now = suspended(t, p.now, jump)
 		must.True(t, p.mayServe())
 		p.tick()
