--- a/internal/claim/coordinator.go
+++ b/internal/claim/coordinator.go
@@ -9,37 +9,38 @@
 	"sliphead/internal/wire"
 )
 
-// phase is how far an attempt's round is.
+// phase is the progress of an attempt within its round.
 type phase int
 
 const (
-	phaseWait    phase = iota // not asking: the node is not ready or backs off
-	phasePromise              // asking for promises
-	phasePrepare              // asking for votes
+	phaseIdle    phase = iota // no request in progress: the node is not ready, or the attempt backs off
+	phasePromise              // waiting for promises
+	phasePrepare              // waiting for votes
 )
 
-// attempt is one claim under way.
+// attempt is one claim in progress.
 type attempt struct {
-	claim      Claim
-	phase      phase
-	round      uint64
-	number     uint64 // of the requests of this phase
-	groups     []group
-	replies    map[string]wire.ClaimReply // by worker, of this phase
-	highest    uint64                     // highest round heard of
-	asked      bool                       // any replica may hold a vote or promise for it
-	resend     time.Time                  // when to ask those again that did not answer
-	waitsUntil time.Time                  // when to take the missing for lost
-	resume     time.Time                  // end of the back-off
+	claim         Claim
+	phase         phase
+	round         uint64
+	requestNumber uint64 // number of the requests of this phase
+	groups        []group
+	replies       map[string]wire.ClaimReply // replies of this phase by worker
+	highestRound  uint64                     // highest round seen in any reply
+	contacted     bool                       // requests were sent, so replicas may have stored a vote or promise for it
+	resendAt      time.Time                  // when requests without a reply are resent
+	phaseDeadline time.Time                  // when replicas that have not replied are considered unreachable
+	backoffUntil  time.Time                  // end of the backoff
 }
 
-// waitFactor is for how many Config.Retry a phase waits for the missing.
-const waitFactor = 4
+// phaseTimeoutFactor is the timeout of a phase in multiples of Config.Retry.
+const phaseTimeoutFactor = 4
 
 func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K { return slices.Sorted(maps.Keys(values)) }
 
-// claim starts an attempt.
-func (m *Machine) claim(event Claim, now time.Time) []Effect {
+// startAttempt starts an attempt. It refuses the claim at once if the service
+// is unknown or MaxAttempts are in progress.
+func (m *Machine) startAttempt(event Claim, now time.Time) []Effect {
 	latest := now.Add(m.config.MaxClaim)
 	if event.Deadline.After(latest) {
 		event.Deadline = latest
@@ -47,86 +48,90 @@
 	if m.services[event.Service] == nil || len(m.attempts) >= m.config.MaxAttempts {
 		return []Effect{Decided{event.Holder, Decision{Verdict: VerdictNoQuorum}}}
 	}
-	started := &attempt{claim: event, phase: phaseWait, waitsUntil: now.Add(waitFactor * m.config.Retry)}
+	started := &attempt{claim: event, phase: phaseIdle, phaseDeadline: now.Add(phaseTimeoutFactor * m.config.Retry)}
 	m.attempts[event.Holder] = started
-	return m.proceed(started, now)
+	return m.advance(started, now)
 }
 
-// proceed does what time asks of an attempt.
-func (m *Machine) proceed(a *attempt, now time.Time) []Effect {
+// advance does whatever has become due for an attempt: it starts a phase,
+// resends requests, or ends the phase or the attempt on a timeout.
+func (m *Machine) advance(a *attempt, now time.Time) []Effect {
 	if !now.Before(a.claim.Deadline) {
 		return m.refuse(a, VerdictNoQuorum, now)
 	}
-	held := m.services[a.claim.Service]
-	if a.phase == phaseWait {
-		if now.Before(a.resume) {
+	state := m.services[a.claim.Service]
+	if a.phase == phaseIdle {
+		if now.Before(a.backoffUntil) {
 			return nil
 		}
-		if !m.mayCoordinate(held, a.claim.Key, now) {
-			return m.refuseWhenTimeIsUp(a, now)
+		if !m.mayCoordinate(state, a.claim.Key, now) {
+			return m.refuseAfterTimeout(a, now)
 		}
-		if a.highest == 0 {
-			return m.ask(a, phasePrepare, 0, now)
+		if a.highestRound == 0 {
+			return m.startPhase(a, phasePrepare, 0, now)
 		}
-		return m.ask(a, phasePromise, a.highest+1, now)
+		return m.startPhase(a, phasePromise, a.highestRound+1, now)
 	}
-	if !now.Before(a.waitsUntil) {
-		return m.conclude(a, now)
+	if !now.Before(a.phaseDeadline) {
+		return m.endPhase(a, now)
 	}
-	if now.Before(a.resend) {
+	if now.Before(a.resendAt) {
 		return nil
 	}
-	a.resend = now.Add(m.config.Retry)
-	return m.sendPhase(a, held, now)
+	a.resendAt = now.Add(m.config.Retry)
+	return m.sendPhaseRequests(a, state, now)
 }
 
-// refuseWhenTimeIsUp refuses an attempt whose node may not coordinate and
-// that no replica has been asked for. Recovery may take minutes: the caller is
-// told at once, rather than held with all that the request occupies.
-func (m *Machine) refuseWhenTimeIsUp(a *attempt, now time.Time) []Effect {
-	if a.asked || now.Before(a.waitsUntil) {
+// refuseAfterTimeout refuses an attempt that has sent no request because its
+// node may not coordinate. Recovery may take minutes, so the caller gets its
+// refusal after a short wait rather than occupying a request slot until its
+// deadline.
+func (m *Machine) refuseAfterTimeout(a *attempt, now time.Time) []Effect {
+	if a.contacted || now.Before(a.phaseDeadline) {
 		return nil
 	}
 	return m.refuse(a, VerdictNoQuorum, now)
 }
 
-// mayCoordinate reports whether this node knows every configuration that still
-// counts: it does once its own replica has recovered.
-func (m *Machine) mayCoordinate(held *service, key string, now time.Time) bool {
+// mayCoordinate reports whether this node has all configurations whose
+// majorities are still required. It has them once its own replica has
+// recovered.
+func (m *Machine) mayCoordinate(state *serviceState, key string, now time.Time) bool {
 	open := !m.replaced && !now.Before(m.config.Since)
-	return open && held.isReady(slotOf(key)) && len(held.priors) <= maxPriors
+	return open && state.isReady(slotOf(key)) && len(state.priors) <= maxPriors
 }
 
-// ask starts a phase at all replicas.
-func (m *Machine) ask(a *attempt, next phase, round uint64, now time.Time) []Effect {
-	held := m.services[a.claim.Service]
+// startPhase starts a phase and sends its requests to all replicas.
+func (m *Machine) startPhase(a *attempt, next phase, round uint64, now time.Time) []Effect {
+	state := m.services[a.claim.Service]
 	m.setPhase(a, next, m.nextNumber())
 	a.round = round
-	a.highest = max(a.highest, round)
-	a.groups = held.groups(slotOf(a.claim.Key), now, m.config.hold())
+	a.highestRound = max(a.highestRound, round)
+	a.groups = state.requiredGroups(slotOf(a.claim.Key), now, m.config.retention())
 	a.replies = make(map[string]wire.ClaimReply)
-	a.asked = true
-	a.resend = now.Add(m.config.Retry)
-	a.waitsUntil = now.Add(waitFactor * m.config.Retry)
-	return m.sendPhase(a, held, now)
+	a.contacted = true
+	a.resendAt = now.Add(m.config.Retry)
+	a.phaseDeadline = now.Add(phaseTimeoutFactor * m.config.Retry)
+	return m.sendPhaseRequests(a, state, now)
 }
 
-// request returns the message of the attempt's present phase.
-func (m *Machine) request(a *attempt, kind wire.ClaimKind, held *service) wire.ClaimRequest {
+// newRequest returns the attempt's request of the given kind.
+func (m *Machine) newRequest(a *attempt, kind wire.ClaimKind, state *serviceState) wire.ClaimRequest {
 	return wire.ClaimRequest{
-		Kind: kind, Number: a.number, Service: a.claim.Service, Key: a.claim.Key, Body: a.claim.Body,
-		Holder: a.claim.Holder, Round: a.round, Version: m.version, Group: held.current.digest,
+		Kind: kind, Number: a.requestNumber, Service: a.claim.Service, Key: a.claim.Key, Body: a.claim.BodyDigest,
+		Holder: a.claim.Holder, Round: a.round, Version: m.version, Group: state.current.digest,
 		TTLMS: m.config.KeyLife.Milliseconds(),
 	}
 }
 
-// sendPhase asks the replicas that have not answered; the own one at once.
-func (m *Machine) sendPhase(a *attempt, held *service, now time.Time) []Effect {
+// sendPhaseRequests sends the request of the phase to the replicas that have
+// not replied. The node's own replica handles it directly.
+func (m *Machine) sendPhaseRequests(a *attempt, state *serviceState, now time.Time) []Effect {
 	kind := wire.ClaimPrepare
 	if a.phase == phasePromise {
 		kind = wire.ClaimPromise
 	}
-	request := m.request(a, kind, held)
+	request := m.newRequest(a, kind, state)
 	var effects []Effect
 	var own *wire.ClaimReply
 	for _, worker := range members(a.groups) {
@@ -134,64 +139,66 @@
 			continue
 		}
 		if worker != m.config.Worker {
-			effects = m.send(effects, held, worker, wire.Envelope{ClaimRequest: &request})
+			effects = m.send(effects, state, worker, wire.Envelope{ClaimRequest: &request})
 			continue
 		}
-		reply, logs := m.answer(request, now)
+		reply, logs := m.handleRequest(request, now)
 		effects = append(effects, logs...)
 		own = &reply
 	}
 	if own == nil {
 		return effects
 	}
-	return append(effects, m.takeReply(*own, now)...)
+	return append(effects, m.receiveReply(*own, now)...)
 }
 
-// takeReply takes in a replica's vote or the note of a finish or release.
-func (m *Machine) takeReply(reply wire.ClaimReply, now time.Time) []Effect {
+// receiveReply handles a replica's vote, or its acknowledgement of a finish or
+// release.
+func (m *Machine) receiveReply(reply wire.ClaimReply, now time.Time) []Effect {
 	if reply.Vote == wire.VoteNoted {
-		m.noted(reply)
+		m.receiveNoticeAck(reply)
 		return nil
 	}
-	a := m.byNumber[reply.Number]
+	a := m.attemptByRequest[reply.Number]
 	if a == nil {
 		return nil
 	}
-	return m.takeVote(a, reply, now)
+	return m.receiveVote(a, reply, now)
 }
 
-// setPhase enters a phase in which replies carry the number, 0 for none.
+// setPhase enters a phase whose requests and replies carry the number. Number 0
+// means that no replies are expected.
 func (m *Machine) setPhase(a *attempt, next phase, number uint64) {
-	delete(m.byNumber, a.number)
-	a.phase, a.number = next, number
+	delete(m.attemptByRequest, a.requestNumber)
+	a.phase, a.requestNumber = next, number
 	if number != 0 {
-		m.byNumber[number] = a
+		m.attemptByRequest[number] = a
 	}
 }
 
-// remove forgets an attempt that is decided or cancelled.
-func (m *Machine) remove(a *attempt) {
-	m.setPhase(a, phaseWait, 0)
+// removeAttempt removes an attempt that is decided or cancelled.
+func (m *Machine) removeAttempt(a *attempt) {
+	m.setPhase(a, phaseIdle, 0)
 	delete(m.attempts, a.claim.Holder)
 }
 
-func (m *Machine) takeVote(a *attempt, reply wire.ClaimReply, now time.Time) []Effect {
+func (m *Machine) receiveVote(a *attempt, reply wire.ClaimReply, now time.Time) []Effect {
 	if !now.Before(a.claim.Deadline) {
 		return m.refuse(a, VerdictNoQuorum, now)
 	}
-	held := m.services[a.claim.Service]
+	state := m.services[a.claim.Service]
 	switch {
-	case !held.sameGroups(reply.Group, reply.Version):
-		reply.Vote = wire.VoteNone // counted as an answer, not as a vote
-	case !held.knowsPriors(reply.Priors):
+	case !state.sameGroups(reply.Group, reply.Version):
+		reply.Vote = wire.VoteNone // counts as a reply, but not as a vote
+	case !state.hasPriors(reply.Priors):
 		reply.Vote = wire.VoteNone
-		held.recovery.urgent = true
+		state.recovery.urgent = true
 		fallthrough
 	default:
-		held.noteLeft(reply.Worker, time.Duration(reply.SinceMS)*time.Millisecond, now)
+		state.recordLeft(reply.Worker, time.Duration(reply.SinceMS)*time.Millisecond, now)
 	}
 	a.replies[reply.Worker] = reply
-	a.highest = max(a.highest, reply.Promised)
+	a.highestRound = max(a.highestRound, reply.Promised)
 	switch {
 	case reply.Vote == wire.VoteMismatch:
 		return m.refuse(a, VerdictMismatch, now)
@@ -200,74 +207,76 @@
 	case a.phase == phasePrepare && a.hasMajorities(wire.VoteGranted):
 		return m.allow(a)
 	case a.phase == phasePromise && a.hasMajorities(wire.VotePromised) && a.rival() == "":
-		return m.ask(a, phasePrepare, a.round, now)
+		return m.startPhase(a, phasePrepare, a.round, now)
 	case len(a.replies) == len(members(a.groups)):
-		return m.conclude(a, now)
+		return m.endPhase(a, now)
 	}
 	return nil
 }
 
-// given returns the replies with the vote, by worker. Those of processes that
-// another one of them knows to be replaced do not count: the process that
-// replaced them may not know of the vote.
-func (a *attempt) given(vote wire.ClaimVote) map[string]wire.ClaimReply {
-	given := make(map[string]wire.ClaimReply, len(a.replies))
-	known := make(map[string]uint64, len(a.replies))
+// validReplies returns the replies with the given vote, by worker. It leaves
+// out replies of processes that another of these replies reports as replaced:
+// the process that replaced them may not have the vote.
+func (a *attempt) validReplies(vote wire.ClaimVote) map[string]wire.ClaimReply {
+	valid := make(map[string]wire.ClaimReply, len(a.replies))
+	latest := make(map[string]uint64, len(a.replies))
 	for worker, reply := range a.replies {
 		if reply.Vote != vote {
 			continue
 		}
-		given[worker] = reply
+		valid[worker] = reply
 		for other, incarnation := range reply.Known {
-			known[other] = max(known[other], incarnation)
+			latest[other] = max(latest[other], incarnation)
 		}
 	}
-	for worker, reply := range given {
-		if reply.Incarnation < known[worker] {
-			delete(given, worker)
+	for worker, reply := range valid {
+		if reply.Incarnation < latest[worker] {
+			delete(valid, worker)
 		}
 	}
-	return given
+	return valid
 }
 
-// hasMajorities reports whether a majority of every group gave the vote.
+// hasMajorities reports whether a majority of every group gave the vote, and no
+// replica reported the key as finished.
 func (a *attempt) hasMajorities(vote wire.ClaimVote) bool {
 	if a.hasAny(wire.VoteFinished) {
 		return false
 	}
-	given := a.given(vote)
-	for _, one := range a.groups {
-		votes := one.count(func(worker string) bool {
-			_, have := given[worker]
-			return have
+	valid := a.validReplies(vote)
+	for _, replicas := range a.groups {
+		votes := replicas.count(func(worker string) bool {
+			_, found := valid[worker]
+			return found
 		})
-		if votes < one.majority() {
+		if votes < replicas.majority() {
 			return false
 		}
 	}
 	return true
 }
 
-// rival returns a holder that may have a majority of some group: with its
-// known votes and those of all that did not promise. It returns "" if there is
-// none, so that this attempt may ask for votes. (After Lamport's Paxos; but a
-// rival's claim is never completed for it, as only the rival itself can run.)
+// rival returns a holder that may have a majority in some group, counting its
+// reported votes and those of all replicas that did not promise. It returns ""
+// if there is none, so that this attempt may request votes. This is the rule of
+// Lamport's Paxos, except that a rival's claim is never completed on its
+// behalf, as only the rival itself can run the request.
 func (a *attempt) rival() string {
-	promised := a.given(wire.VotePromised)
-	for _, one := range a.groups {
-		missing := one.count(func(worker string) bool {
-			_, have := promised[worker]
-			return !have
+	promised := a.validReplies(wire.VotePromised)
+	for _, replicas := range a.groups {
+		missing := replicas.count(func(worker string) bool {
+			_, found := promised[worker]
+			return !found
 		})
 		votes := make(map[string]int)
-		for _, worker := range one {
+		for _, worker := range replicas {
 			by := promised[worker].AcceptedBy
 			if by != "" && by != a.claim.Holder {
 				votes[by]++
 			}
 		}
 		for holder, count := range votes {
-			if count+missing >= one.majority() {
+			if count+missing >= replicas.majority() {
 				return holder
 			}
 		}
@@ -275,23 +284,23 @@
 	return ""
 }
 
-// conclude ends a phase that all have answered, or that has waited for long
-// enough, without the majorities that it needs.
-func (m *Machine) conclude(a *attempt, now time.Time) []Effect {
+// endPhase ends a phase without the required majorities, because all replicas
+// have replied or the phase timed out.
+func (m *Machine) endPhase(a *attempt, now time.Time) []Effect {
 	if a.hasAny(wire.VoteFinished) {
 		return m.refuse(a, VerdictRan, now)
 	}
 	if a.phase == phasePromise && a.hasMajorities(wire.VotePromised) {
-		return m.refuse(a, VerdictBusy, now) // rival is not "", or votes would have been asked for
+		return m.refuse(a, VerdictBusy, now) // rival is not "": otherwise receiveVote would have requested votes
 	}
 	if a.hasAny(wire.VoteTaken) {
-		a.highest = max(a.highest, 1)
+		a.highestRound = max(a.highestRound, 1)
 	}
 	m.backOff(a, now)
 	return nil
 }
 
-// hasAny reports whether some replica gave the vote.
+// hasAny reports whether any replica gave the vote.
 func (a *attempt) hasAny(vote wire.ClaimVote) bool {
 	for _, reply := range a.replies {
 		if reply.Vote == vote {
@@ -301,16 +310,16 @@
 	return false
 }
 
-// backOff lets a random time pass before the next round, so that rivals do not
-// keep overtaking each other.
+// backOff delays the next round by a random time, so that rivals do not keep
+// preempting each other.
 func (m *Machine) backOff(a *attempt, now time.Time) {
-	m.setPhase(a, phaseWait, 0)
-	a.resume = now.Add(time.Duration(m.config.Random.Int64N(int64(m.config.Retry))))
+	m.setPhase(a, phaseIdle, 0)
+	a.backoffUntil = now.Add(time.Duration(m.config.Random.Int64N(int64(m.config.Retry))))
 }
 
-// allow decides that the attempt runs.
+// allow decides that the attempt may run.
 func (m *Machine) allow(a *attempt) []Effect {
-	m.remove(a)
+	m.removeAttempt(a)
 	m.running[a.claim.Holder] = a
 	return []Effect{Decided{a.claim.Holder, Decision{Verdict: VerdictRun, Holder: a.claim.Holder}}}
 }
@@ -319,11 +328,11 @@
 	return m.refuseWith(a, Decision{Verdict: verdict}, now)
 }
 
-// refuseWith decides that the attempt never runs and takes its votes back.
+// refuseWith decides that the attempt never runs and releases its votes.
 func (m *Machine) refuseWith(a *attempt, decision Decision, now time.Time) []Effect {
-	m.remove(a)
+	m.removeAttempt(a)
 	effects := []Effect{Decided{a.claim.Holder, decision}}
-	if !a.asked {
+	if !a.contacted {
 		return effects
 	}
 	return append(effects, m.notify(a, wire.ClaimRelease, nil, now)...)
@@ -335,8 +344,8 @@
 	if a == nil {
 		return m.release(holder, now)
 	}
-	m.remove(a)
-	if !a.asked {
+	m.removeAttempt(a)
+	if !a.contacted {
 		return nil
 	}
 	return m.notify(a, wire.ClaimRelease, nil, now)
--- a/internal/claim/decision.go
+++ b/internal/claim/decision.go
@@ -1,25 +1,25 @@
 // Package claim lets a request that may not be repeated run at most once.
 // Before it runs, the worker's node claims the request's idempotency key at a
-// majority of a replica group. The state machines are pure; Keeper runs them
-// on one goroutine.
+// majority of a replica group. Machine does no I/O and reads no clock; Keeper runs
+// it on one goroutine.
 package claim
 
-// Verdict is what a claim came to.
+// Verdict is the outcome of a claim.
 type Verdict string
 
 // The verdicts on a claim.
 const (
 	VerdictRun      Verdict = "run"       // the caller holds the key and may run the request, once
-	VerdictAnswered Verdict = "answered"  // it ran before; the kept answer is in Answer
-	VerdictRan      Verdict = "ran"       // it ran before and the answer is no longer kept
-	VerdictBusy     Verdict = "busy"      // another attempt holds the key and may be running it
+	VerdictAnswered Verdict = "answered"  // the request ran before; its stored response is in Answer
+	VerdictRan      Verdict = "ran"       // the request ran before; its response is no longer stored
+	VerdictBusy     Verdict = "busy"      // another attempt holds the key and may be running the request
 	VerdictMismatch Verdict = "mismatch"  // the key was used for another request
-	VerdictNoQuorum Verdict = "no-quorum" // no majority answered: not run
+	VerdictNoQuorum Verdict = "no-quorum" // no majority of the replicas voted; the request must not run
 )
 
-// Decision is the answer to a claim.
+// Decision is the result of a claim.
 type Decision struct {
 	Verdict Verdict
-	Holder  string // names this attempt, for Finish and Release; set with VerdictRun
-	Answer  []byte // set with VerdictAnswered
+	Holder  string // identifies this attempt for Finish and Release; set with VerdictRun
+	Answer  []byte // the stored response; set with VerdictAnswered
 }
--- a/internal/claim/event.go
+++ b/internal/claim/event.go
@@ -10,34 +10,37 @@
 // Event is an input of a Machine.
 type Event interface{ isEvent() }
 
-// Tick lets time pass. It is due every Config.Retry/2 or so.
+// Tick lets the machine act on the passage of time. It is due about every
+// Config.Retry/2.
 type Tick struct{}
 
-// Claim asks whether a request may run. Body is a digest of the request.
-// Holder names the attempt and is never used again, by any process.
+// Claim requests permission to run a request. BodyDigest is a digest of the
+// request. Holder identifies the attempt and must never be reused, by any
+// process.
 type Claim struct {
-	Service, Key, Body, Holder string
-	Deadline                   time.Time
+	Service, Key, BodyDigest, Holder string
+	Deadline                         time.Time
 }
 
-// Finish tells that the run of a holder has ended; a nil answer is not kept.
+// Finish reports that the run of a holder has ended. A nil response is not
+// stored.
 type Finish struct {
 	Service, Key, Holder string
-	Answer               []byte
+	Response             []byte
 }
 
-// Release tells that a holder that was allowed to run did not and never will.
+// Release reports that a holder that was allowed to run did not and never will.
 type Release struct{ Service, Key, Holder string }
 
-// Cancelled tells that nobody waits for the decision on a holder any more: it
+// Cancelled reports that nobody waits for the decision on a holder any more: it
 // has not run and never will.
 type Cancelled struct{ Holder string }
 
-// Received brings a claim message from another node.
+// Received delivers a claim message from another node.
 type Received struct{ Message wire.Envelope }
 
-// Configure brings the declared workers of each service and the nodes that are
-// live beside them.
+// Configure sets the declared workers of each service and the live nodes beside
+// them.
 type Configure struct {
 	Version version.Version
 	Workers map[string][]Worker // by service
@@ -55,7 +58,7 @@
 // Effect is an output of a Machine.
 type Effect interface{ isEffect() }
 
-// Send is a message to be sent by stream.
+// Send requests that a message be sent by stream.
 type Send struct{ Outgoing wire.Outgoing }
 
 // Decided is the decision on an attempt. Each attempt gets at most one.
@@ -64,11 +67,11 @@
 	Decision Decision
 }
 
-// Log is something for the log.
+// Log requests that an event be logged.
 type Log struct {
 	Name    LogName
 	Service string
-	Count   int // what it counts depends on the name
+	Count   int // see the LogName constants
 }
 
 // LogName is the fixed name of a log event.
@@ -76,11 +79,11 @@
 
 // The log events.
 const (
-	LogRecovered LogName = "claim.recovered"     // the replica may vote in all slots; Count is records held
-	LogReplaced  LogName = "claim.incarnation"   // a process of the same worker with a later clock was known; Count is 1
-	LogChanged   LogName = "claim.group-changed" // Count is earlier configurations that still count
-	LogSettled   LogName = "claim.group-settled" // an earlier configuration no longer counts; Count is those left
-	LogFull      LogName = "claim.table-full"    // a new key was refused; Count is records held
+	LogRecovered         LogName = "claim.recovered"     // the replica may vote in all slots; Count is the number of records
+	LogIncarnationRaised LogName = "claim.incarnation"   // another process of the same worker has a higher incarnation; Count is 1
+	LogGroupChanged      LogName = "claim.group-changed" // the declared workers changed; Count is the number of earlier configurations still required
+	LogGroupSettled      LogName = "claim.group-settled" // an earlier configuration is no longer required; Count is the number that still are
+	LogTableFull         LogName = "claim.table-full"    // a new key was refused; Count is the number of records
 )
 
 func (Send) isEffect()    {}
--- a/internal/claim/fuzz_test.go
+++ b/internal/claim/fuzz_test.go
@@ -12,8 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed, count and length of the stateful fuzz, so that its
-// verdict is the same on each run. Flags on the command line win.
+// TestMain fixes the seed, count and length of the stateful fuzz test, so that
+// its result is the same on each run. Flags on the command line take
+// precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := make(map[string]bool)
@@ -28,28 +29,29 @@
 	os.Exit(m.Run())
 }
 
-// submission is the first time that a key was sent, the start of its life.
+// submission is the first submission of a key, the start of its life.
 type submission struct {
 	key, body string
 	at        time.Time
 }
 
-// fuzzed is a sim with what the actions need besides.
-type fuzzed struct {
+// fuzzFleet is a sim with the additional state of the actions.
+type fuzzFleet struct {
 	*sim
 	sent []submission
 }
 
-// TestClaimsStateful drives a fleet through loss, reordering, duplication, cuts,
-// restarts without memory, frozen processes that wake after they were
-// replaced, resubmission and changes of the declared workers. The oracle is
-// the journal: each key runs at most once in its life, and an attempt that was
-// not allowed to run never runs.
-func TestClaimsStateful(t *testing.T) {
-	fuzzedRuns = 0
+// TestKeyRunsAtMostOnceUnderRandomFaults drives a fleet through loss,
+// reordering and duplication of messages, network cuts, restarts that lose all
+// votes, frozen processes that resume after they were replaced, resubmissions,
+// and changes of the declared workers. It checks after each action that every
+// key has run at most once in its life, and that no attempt has run that was
+// not allowed to.
+func TestKeyRunsAtMostOnceUnderRandomFaults(t *testing.T) {
+	totalRuns = 0
 	rapid.Check(t, fuzzClaims)
-	t.Logf("%d runs", fuzzedRuns)
-	must.Greater(t, leastRuns, fuzzedRuns)
+	t.Logf("%d runs", totalRuns)
+	must.Greater(t, minRuns, totalRuns)
 }
 
 func fuzzClaims(t *rapid.T) {
@@ -57,9 +59,9 @@
 	config.CopyOnly = rapid.Bool().Draw(t, "copy only")
 	workers := workersOf(rapid.IntRange(3, 7).Draw(t, "workers"), 1, 3)
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
-	f := &fuzzed{sim: newSim(random, config, workers)}
+	f := &fuzzFleet{sim: newSim(random, config, workers)}
 	f.startAll()
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	t.Repeat(map[string]func(*rapid.T){
 		"":       f.check,
 		"burst":  f.actBurst,
@@ -71,23 +73,23 @@
 		"change": f.actChange,
 		"wait":   f.actWait,
 	})
-	fuzzedRuns += len(f.journal)
+	totalRuns += len(f.journal)
 }
 
-// leastRuns guards against a fuzz that passes as nothing is ever granted.
-const leastRuns = 500
+// minRuns makes the test fail if hardly any claim is granted.
+const minRuns = 500
 
-// fuzzedRuns counts the runs of all checks, to show that claims are granted.
-var fuzzedRuns int
+// totalRuns counts the runs of all checks.
+var totalRuns int
 
-// micro is a small step of a burst, with its weight.
-type micro struct {
+// weightedAction is an action of runRandom with its weight.
+type weightedAction struct {
 	weight int
 	act    func()
 }
 
-// burst takes small steps at random.
-func (f *fuzzed) burst(count int, steps []micro) {
+// runRandom runs count actions, drawn at random by weight.
+func (f *fuzzFleet) runRandom(count int, steps []weightedAction) {
 	total := 0
 	for _, step := range steps {
 		total += step.weight
@@ -103,24 +105,24 @@
 	}
 }
 
-// actBurst is traffic: one new key, sent again and again through many nodes
-// while messages are lost, repeated and reordered.
-func (f *fuzzed) actBurst(t *rapid.T) {
+// actBurst submits one new key and resubmits it through many nodes, while
+// messages are lost, duplicated and reordered.
+func (f *fuzzFleet) actBurst(t *rapid.T) {
 	f.newKey()
-	f.burst(rapid.IntRange(10, 150).Draw(t, "steps"), []micro{
-		{60, f.deliverOne}, {4, f.repeatOne}, {4, f.loseOne}, {6, f.tickOnce}, {6, f.resubmit}, {2, f.endOne}, {1, f.restart}, {1, f.update},
+	f.runRandom(rapid.IntRange(10, 150).Draw(t, "steps"), []weightedAction{
+		{60, f.deliverOne}, {4, f.duplicateOne}, {4, f.loseOne}, {6, f.tickOnce}, {6, f.resubmit}, {2, f.endOne}, {1, f.restart}, {1, f.update},
 	})
 }
 
-// actFaults is restarts, replaced processes and updates among the traffic.
-func (f *fuzzed) actFaults(t *rapid.T) {
-	f.burst(rapid.IntRange(10, 100).Draw(t, "steps"), []micro{
+// actFaults restarts, replaces and updates processes during the traffic.
+func (f *fuzzFleet) actFaults(t *rapid.T) {
+	f.runRandom(rapid.IntRange(10, 100).Draw(t, "steps"), []weightedAction{
 		{60, f.deliverOne}, {2, f.loseOne}, {4, f.tickOnce}, {4, f.resubmit}, {4, f.restart}, {1, f.replace}, {2, f.wake}, {3, f.update},
 	})
 }
 
-// actCalm lets everything arrive for a while.
-func (f *fuzzed) actCalm(t *rapid.T) {
+// actCalm delivers every message for a while.
+func (f *fuzzFleet) actCalm(t *rapid.T) {
 	for range rapid.IntRange(1, 10).Draw(t, "rounds") {
 		for len(f.network) > 0 {
 			f.deliverOne()
@@ -129,8 +131,8 @@
 	}
 }
 
-// pick returns a process that is not frozen, nil if it happens on a frozen one.
-func (f *fuzzed) pick() *process {
+// pick returns a random process, or nil if the one drawn is frozen.
+func (f *fuzzFleet) pick() *process {
 	p := f.processes[f.random.IntN(len(f.processes))]
 	if p.frozen {
 		return nil
@@ -138,13 +140,14 @@
 	return p
 }
 
-func (f *fuzzed) newKey() {
+func (f *fuzzFleet) newKey() {
 	f.sent = append(f.sent, submission{fmt.Sprintf("key-%d", len(f.sent)), "body", f.now})
 	f.resubmit()
 }
 
-// resubmit sends one of the last keys through some node, within its life.
-func (f *fuzzed) resubmit() {
+// resubmit sends one of the last two keys through a random node, within its
+// life. One in ten has another body.
+func (f *fuzzFleet) resubmit() {
 	p := f.pick()
 	if p == nil || len(f.sent) == 0 {
 		return
@@ -160,32 +163,32 @@
 	f.submit(p, last.key, body)
 }
 
-func (f *fuzzed) deliverOne() {
+func (f *fuzzFleet) deliverOne() {
 	if len(f.network) > 0 {
 		f.deliver(f.random.IntN(len(f.network)), false)
 	}
 }
 
-func (f *fuzzed) repeatOne() {
+func (f *fuzzFleet) duplicateOne() {
 	if len(f.network) > 0 {
 		f.deliver(f.random.IntN(len(f.network)), true)
 	}
 }
 
-func (f *fuzzed) loseOne() {
+func (f *fuzzFleet) loseOne() {
 	if len(f.network) > 0 {
 		f.network = f.network[:len(f.network)-1]
 	}
 }
 
-func (f *fuzzed) tickOnce() {
+func (f *fuzzFleet) tickOnce() {
 	f.tick(time.Duration(1+f.random.IntN(100)) * time.Millisecond)
 }
 
-// restart ends a process and starts another for its worker, which may be
-// behind in its version.
-func (f *fuzzed) restart() {
-	const massRestartShare = 15 // one in so many restarts comes while others have not recovered
+// restart kills a process. If its worker has no other, it starts one, which may
+// have an older version.
+func (f *fuzzFleet) restart() {
+	const massRestartShare = 15 // one in so many restarts happens while another process has not recovered
 	p := f.processes[f.random.IntN(len(f.processes))]
 	if f.recovering() && f.random.IntN(massRestartShare) != 0 {
 		return
@@ -196,29 +199,29 @@
 	}
 }
 
-// recovering reports whether some process may not vote yet.
-func (f *fuzzed) recovering() bool {
+// recovering reports whether any process may not vote yet in some slot.
+func (f *fuzzFleet) recovering() bool {
 	for _, p := range f.processes {
-		if held := p.machine.services[simService]; !p.frozen && held != nil && held.ready() != allSlots {
+		if state := p.machine.services[simService]; !p.frozen && state != nil && state.readySlots() != allSlots {
 			return true
 		}
 	}
 	return false
 }
 
-// replace freezes a process and starts another for its worker beside it.
-func (f *fuzzed) replace() {
-	const mostProcesses = 14
+// replace freezes a process and starts another for the same worker.
+func (f *fuzzFleet) replace() {
+	const maxProcesses = 14
 	p := f.pick()
-	if p == nil || len(f.processes) >= mostProcesses {
+	if p == nil || len(f.processes) >= maxProcesses {
 		return
 	}
 	p.frozen = true
 	f.start(p.worker, p.version)
 }
 
-// wake lets a frozen process go on with what it knew.
-func (f *fuzzed) wake() {
+// wake resumes a frozen process with its old state.
+func (f *fuzzFleet) wake() {
 	for _, p := range f.processes {
 		if p.frozen && f.random.IntN(2) == 0 {
 			p.frozen = false
@@ -227,16 +230,16 @@
 	}
 }
 
-// update brings a process to a later version.
-func (f *fuzzed) update() {
+// update moves a process to a later version.
+func (f *fuzzFleet) update() {
 	p := f.pick()
 	if p != nil && int(p.version) < len(f.configs) {
 		f.configure(p, uint64(len(f.configs)-f.random.IntN(len(f.configs)-int(p.version))))
 	}
 }
 
-// endOne finishes or cancels one of the last attempts.
-func (f *fuzzed) endOne() {
+// endOne finishes or cancels one of the last four attempts.
+func (f *fuzzFleet) endOne() {
 	if len(f.holders) == 0 {
 		return
 	}
@@ -247,16 +250,17 @@
 	}
 	decision, decided := f.decided[holder.name]
 	switch {
-	case decided && decision.Verdict == VerdictRun && !f.undone[holder.name]:
+	case decided && decision.Verdict == VerdictRun && !f.notRun[holder.name]:
 		key := f.claims[holder.name].Key
-		f.step(p, Finish{Service: simService, Key: key, Holder: holder.name, Answer: []byte("answer")})
+		f.step(p, Finish{Service: simService, Key: key, Holder: holder.name, Response: []byte("answer")})
 	case !decided:
-		f.undone[holder.name] = true
+		f.notRun[holder.name] = true
 		f.step(p, Cancelled{Holder: holder.name})
 	}
 }
 
-func (f *fuzzed) actCut(t *rapid.T) {
+// actCut cuts the network into two random sides, or ends the cut.
+func (f *fuzzFleet) actCut(t *rapid.T) {
 	if len(f.cut) > 0 {
 		clear(f.cut)
 		return
@@ -266,12 +270,13 @@
 	}
 }
 
-// actChange declares other workers and starts the new ones. Replicas that vote
-// by age alone are kept from it: see the limits in the package comment.
-func (f *fuzzed) actChange(t *rapid.T) {
-	const mostChanges = 4
-	if !f.config.CopyOnly || len(f.configs) >= mostChanges {
-		t.Skip("enough")
+// actChange declares other workers and starts the new ones. It needs CopyOnly:
+// without it a key may run twice in this case, see the limits in the package
+// comment.
+func (f *fuzzFleet) actChange(t *rapid.T) {
+	const maxChanges = 4
+	if !f.config.CopyOnly || len(f.configs) >= maxChanges {
+		t.Skip("CopyOnly is off or the limit of changes is reached")
 	}
 	first := rapid.IntRange(1, 5).Draw(t, "first")
 	count := rapid.IntRange(3, 7).Draw(t, "count")
@@ -281,18 +286,19 @@
 			f.start(worker.Name, uint64(len(f.configs)))
 		}
 	}
-	f.burst(rapid.IntRange(0, 12).Draw(t, "updates"), []micro{{1, f.update}})
+	f.runRandom(rapid.IntRange(0, 12).Draw(t, "updates"), []weightedAction{{1, f.update}})
 }
 
-// actWait lets some or all of the life of records pass.
-func (f *fuzzed) actWait(t *rapid.T) {
+// actWait lets one to four quarters of the retention period pass.
+func (f *fuzzFleet) actWait(t *rapid.T) {
 	for range rapid.IntRange(1, 4).Draw(t, "quarters") {
-		f.tick(f.config.hold() / 4)
+		f.tick(f.config.retention() / 4)
 	}
 }
 
-// check is the oracle.
-func (f *fuzzed) check(t *rapid.T) {
+// check fails the test if a key ran twice, an attempt ran although it was
+// refused or cancelled, or a caller received the response of another request.
+func (f *fuzzFleet) check(t *rapid.T) {
 	ran := make(map[string]run)
 	for _, entry := range f.journal {
 		if before, twice := ran[entry.key]; twice {
@@ -300,14 +306,14 @@
 				before.holder, before.at.Format("04:05.000"), entry.holder, entry.at.Format("04:05.000"))
 		}
 		ran[entry.key] = entry
-		if f.undone[entry.holder] {
-			t.Fatalf("%s ran and was told that it did not", entry.holder)
+		if f.notRun[entry.holder] {
+			t.Fatalf("%s ran although it was refused, released or cancelled", entry.holder)
 		}
 	}
 	for holder, decision := range f.decided {
 		before, known := ran[f.claims[holder].Key]
-		if decision.Verdict == VerdictAnswered && (!known || before.body != f.claims[holder].Body) {
-			t.Fatalf("%s was given an answer of another request", holder)
+		if decision.Verdict == VerdictAnswered && (!known || before.body != f.claims[holder].BodyDigest) {
+			t.Fatalf("%s received the response of another request", holder)
 		}
 	}
 }
--- a/internal/claim/group.go
+++ b/internal/claim/group.go
@@ -14,8 +14,8 @@
 	Zone string
 }
 
-// slotCount is the number of slots that a service's keys hash to. A slot has
-// one replica group; a replica recovers slot by slot.
+// slotCount is the number of slots that the keys of a service hash to. Each
+// slot has one replica group, and a replica recovers slot by slot.
 const slotCount = 64
 
 // allSlots has the bit of each slot set.
@@ -29,42 +29,43 @@
 // group is the replicas of one slot.
 type group []string
 
-// majority returns how many replicas are more than half of the group.
+// majority returns the smallest number of replicas that is more than half.
 func (g group) majority() int { return len(g)/2 + 1 }
 
 // contains reports whether the worker is a replica of the group.
 func (g group) contains(worker string) bool { return slices.Contains(g, worker) }
 
-// sourcesNeeded returns how many others a replica must have heard: a majority.
-// Then every majority that its earlier process may have been part of has one
-// of them, and so has every majority that was told of a replaced process. A
-// group of two or less can't give that; age alone, if allowed, makes up for it.
-func (g group) sourcesNeeded(self string, aged bool) int {
-	if aged && g.contains(self) {
+// requiredSources returns how many other replicas a recovering replica needs
+// copies from: a majority of the group. Every majority that its earlier process
+// may have voted in then includes one of them, as does every majority that was
+// informed of a replaced process. A group of two or fewer has no majority of
+// others; there, if votesExpired, the age of the process makes up for it.
+func (g group) requiredSources(self string, votesExpired bool) int {
+	if votesExpired && g.contains(self) {
 		return min(g.majority(), len(g)-1)
 	}
 	return g.majority()
 }
 
-// count returns how many of the group satisfy the predicate.
-func (g group) count(holds func(worker string) bool) int {
+// count returns the number of replicas that satisfy the predicate.
+func (g group) count(predicate func(worker string) bool) int {
 	total := 0
 	for _, worker := range g {
-		if holds(worker) {
+		if predicate(worker) {
 			total++
 		}
 	}
 	return total
 }
 
-// configuration is one list of declared workers and the groups made from it.
+// configuration is one list of declared workers and the groups derived from it.
 type configuration struct {
 	digest  string
 	workers []Worker
 	groups  [slotCount]group
 }
 
-// sortWorkers returns the workers by name, each once.
+// sortWorkers returns the workers sorted by name, without duplicates.
 func sortWorkers(workers []Worker) []Worker {
 	sorted := slices.Clone(workers)
 	slices.SortFunc(sorted, func(a, b Worker) int { return cmp.Compare(a.Name, b.Name) })
@@ -84,42 +85,42 @@
 // does not matter.
 func newConfiguration(service string, workers []Worker, size int) *configuration {
 	sorted := sortWorkers(workers)
-	made := &configuration{digest: digestOf(sorted), workers: sorted}
-	for slot := range made.groups {
-		made.groups[slot] = chooseGroup(service, slot, sorted, size)
+	result := &configuration{digest: digestOf(sorted), workers: sorted}
+	for slot := range result.groups {
+		result.groups[slot] = chooseGroup(service, slot, sorted, size)
 	}
-	return made
+	return result
 }
 
-// ranked is a worker with its rendezvous weight and its rank in its zone.
-type ranked struct {
-	worker Worker
-	weight uint64
-	round  int
+// rankedWorker is a worker with its rendezvous weight and its rank in its zone.
+type rankedWorker struct {
+	worker   Worker
+	weight   uint64
+	zoneRank int
 }
 
-// chooseGroup ranks the workers of each zone by rendezvous hash and takes the
-// first of each zone, then the second of each, until the group is full. So the
-// group lies in as many zones as can be. (Thaler and Ravishankar, 1998.)
+// chooseGroup ranks the workers of each zone by rendezvous hash (Thaler and
+// Ravishankar, 1998) and takes the first of each zone, then the second of each,
+// until the group is full. The group thus spans as many zones as possible.
 func chooseGroup(service string, slot int, workers []Worker, size int) group {
-	candidates := make([]ranked, 0, len(workers))
+	candidates := make([]rankedWorker, 0, len(workers))
 	for _, worker := range workers {
 		weight := xxhash.Sum64String(fmt.Sprintf("%s/%d/%s", service, slot, worker.Name))
-		candidates = append(candidates, ranked{worker: worker, weight: weight})
+		candidates = append(candidates, rankedWorker{worker: worker, weight: weight})
 	}
-	slices.SortFunc(candidates, func(a, b ranked) int {
+	slices.SortFunc(candidates, func(a, b rankedWorker) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.worker.Name, b.worker.Name))
 	})
 	taken := make(map[string]int)
 	for index := range candidates {
 		zone := candidates[index].worker.Zone
-		candidates[index].round = taken[zone]
+		candidates[index].zoneRank = taken[zone]
 		taken[zone]++
 	}
-	slices.SortStableFunc(candidates, func(a, b ranked) int { return cmp.Compare(a.round, b.round) })
+	slices.SortStableFunc(candidates, func(a, b rankedWorker) int { return cmp.Compare(a.zoneRank, b.zoneRank) })
 	count := min(size, len(candidates))
 	if count > 2 {
-		count -= 1 - count%2 // an even group needs more votes and survives no more failures
+		count -= 1 - count%2 // an even group needs one more vote and tolerates no more failures
 	}
 	chosen := make(group, 0, count)
 	for _, candidate := range candidates[:count] {
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -9,10 +9,10 @@
 	"sliphead/internal/wire"
 )
 
-// Bounds of a Keeper's queue.
+// Bounds of a Keeper.
 const (
-	eventQueue = 1024
-	tickShare  = 2 // ticks in one Config.Retry
+	eventQueueSize = 1024 // events buffered for the goroutine of Run
+	ticksPerRetry  = 2    // ticks per Config.Retry
 )
 
 // KeeperConfig is the settings of a Keeper.
@@ -20,30 +20,33 @@
 	Config
 	Send func(wire.Outgoing) // must not block
 	Log  func(Log)           // nil logs nothing; must not block
-	Now  func() time.Time    // nil is time.Now
+	Now  func() time.Time    // nil means time.Now
 }
 
-// Keeper runs a Machine on one goroutine and lets many wait for decisions.
+// Keeper runs a Machine on one goroutine. Its methods may be called
+// concurrently.
 type Keeper struct {
-	config  KeeperConfig
-	events  chan Event
-	claims  chan waiting
-	ended   chan struct{}
-	prefix  string
-	counter atomic.Uint64
-
-	// Owned by the goroutine of Run.
+	config         KeeperConfig
+	events         chan Event
+	claims         chan pendingClaim
+	ended          chan struct{}
+	holderPrefix   string
+	attemptCounter atomic.Uint64
+
+	// Used only by the goroutine of Run.
 	machine *Machine
 	waiters map[string]chan<- Decision
 }
 
-// waiting is a claim and who waits for its decision.
-type waiting struct {
+// pendingClaim is a claim and the channel that receives its decision.
+type pendingClaim struct {
 	claim    Claim
 	decision chan<- Decision
 }
 
-// NewKeeper returns a keeper with no memory. Its calls wait until Run runs.
+// NewKeeper returns a keeper without any records or votes. Its methods block
+// until Run is called, except that the first eventQueueSize events are
+// buffered.
 func NewKeeper(config KeeperConfig) *Keeper {
 	if config.Now == nil {
 		config.Now = time.Now
@@ -51,19 +54,20 @@
 	config.Config = config.Config.withDefaults()
 	now := config.Now()
 	return &Keeper{
-		config:  config,
-		events:  make(chan Event, eventQueue),
-		claims:  make(chan waiting),
-		ended:   make(chan struct{}),
-		prefix:  fmt.Sprintf("%s/%d", config.Node, now.UnixNano()),
-		machine: NewMachine(config.Config, now),
-		waiters: make(map[string]chan<- Decision),
+		config:       config,
+		events:       make(chan Event, eventQueueSize),
+		claims:       make(chan pendingClaim),
+		ended:        make(chan struct{}),
+		holderPrefix: fmt.Sprintf("%s/%d", config.Node, now.UnixNano()),
+		machine:      NewMachine(config.Config, now),
+		waiters:      make(map[string]chan<- Decision),
 	}
 }
 
-// Run serves until the context ends. Claims under way are then never run.
+// Run processes claims and events until the context ends. Claims in progress at
+// that time get the verdict no-quorum.
 func (k *Keeper) Run(ctx context.Context) error {
-	ticker := time.NewTicker(k.config.Retry / tickShare)
+	ticker := time.NewTicker(k.config.Retry / ticksPerRetry)
 	defer ticker.Stop()
 	defer close(k.ended)
 	for {
@@ -74,14 +78,14 @@
 			k.step(Tick{})
 		case event := <-k.events:
 			k.step(event)
-		case asked := <-k.claims:
-			k.waiters[asked.claim.Holder] = asked.decision
-			k.step(asked.claim)
+		case request := <-k.claims:
+			k.waiters[request.claim.Holder] = request.decision
+			k.step(request.claim)
 		}
 	}
 }
 
-// step feeds the machine and carries out its effects.
+// step passes an event to the machine and carries out its effects.
 func (k *Keeper) step(event Event) {
 	if cancelled, ok := event.(Cancelled); ok {
 		delete(k.waiters, cancelled.Holder)
@@ -92,7 +96,7 @@
 			k.config.Send(effect.Outgoing)
 		case Decided:
 			if waiter := k.waiters[effect.Holder]; waiter != nil {
-				waiter <- effect.Decision // has room for one
+				waiter <- effect.Decision // buffered, so this does not block
 				delete(k.waiters, effect.Holder)
 			}
 		case Log:
@@ -103,20 +107,21 @@
 	}
 }
 
-// Claim asks whether a request may run and waits for the decision. When the
-// context ends first the verdict is no-quorum: the request must not run and the
-// key is released. With VerdictRun the caller runs the request at once, while
-// its own deadline allows, and then calls Finish, or Release if it did not run.
+// Claim asks whether a request may run and waits for the decision. If the
+// context ends first, the verdict is no-quorum: the request must not run and
+// the key is released. On VerdictRun the caller runs the request at once,
+// provided that its own deadline has not passed, and then calls Finish, or
+// Release if it did not run the request.
 func (k *Keeper) Claim(ctx context.Context, service, key, body string) Decision {
 	decision := make(chan Decision, 1)
-	holder := fmt.Sprintf("%s/%d", k.prefix, k.counter.Add(1))
-	asked := Claim{Service: service, Key: key, Body: body, Holder: holder}
-	asked.Deadline = k.config.Now().Add(k.config.MaxClaim)
-	if deadline, ok := ctx.Deadline(); ok && deadline.Before(asked.Deadline) {
-		asked.Deadline = deadline
+	holder := fmt.Sprintf("%s/%d", k.holderPrefix, k.attemptCounter.Add(1))
+	request := Claim{Service: service, Key: key, BodyDigest: body, Holder: holder}
+	request.Deadline = k.config.Now().Add(k.config.MaxClaim)
+	if deadline, ok := ctx.Deadline(); ok && deadline.Before(request.Deadline) {
+		request.Deadline = deadline
 	}
 	select {
-	case k.claims <- waiting{asked, decision}:
+	case k.claims <- pendingClaim{request, decision}:
 	case <-ctx.Done():
 		return Decision{Verdict: VerdictNoQuorum}
 	case <-k.ended:
@@ -130,28 +135,33 @@
 	case <-ctx.Done():
 	case <-k.ended:
 	}
-	k.post(Cancelled{Holder: holder})
+	k.enqueue(Cancelled{Holder: holder})
 	return Decision{Verdict: VerdictNoQuorum}
 }
 
-// Finish tells that a run has ended; a nil answer is not kept.
-func (k *Keeper) Finish(service, key, holder string, answer []byte) {
-	k.post(Finish{Service: service, Key: key, Holder: holder, Answer: answer})
+// Finish reports that a run has ended. A nil response is not stored. It blocks
+// while the event queue is full.
+func (k *Keeper) Finish(service, key, holder string, response []byte) {
+	k.enqueue(Finish{Service: service, Key: key, Holder: holder, Response: response})
 }
 
-// Release tells that a request that was allowed to run did not and never will.
+// Release reports that a request that was allowed to run did not and never
+// will. It blocks while the event queue is full.
 func (k *Keeper) Release(service, key, holder string) {
-	k.post(Release{Service: service, Key: key, Holder: holder})
+	k.enqueue(Release{Service: service, Key: key, Holder: holder})
 }
 
-// Deliver hands in a claim message from another node.
-func (k *Keeper) Deliver(message wire.Envelope) { k.post(Received{Message: message}) }
+// Deliver passes in a claim message from another node. It blocks while the
+// event queue is full.
+func (k *Keeper) Deliver(message wire.Envelope) { k.enqueue(Received{Message: message}) }
 
-// Configure hands in declared workers and live nodes.
-func (k *Keeper) Configure(configuration Configure) { k.post(configuration) }
+// Configure passes in the declared workers and live nodes. It blocks while the
+// event queue is full.
+func (k *Keeper) Configure(configuration Configure) { k.enqueue(configuration) }
 
-// post queues an event; it blocks while the queue is full.
-func (k *Keeper) post(event Event) {
+// enqueue queues an event. It blocks while the queue is full, and drops the
+// event once Run has ended.
+func (k *Keeper) enqueue(event Event) {
 	select {
 	case k.events <- event:
 	case <-k.ended:
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -14,7 +14,8 @@
 	"sliphead/internal/wire"
 )
 
-// startKeepers runs keepers that deliver to each other. Since is near.
+// startKeepers runs keepers that deliver messages to each other. Their Since is
+// one second from now.
 func startKeepers(ctx context.Context, count int) []*Keeper {
 	keepers := make(map[string]*Keeper)
 	var list []*Keeper
@@ -40,7 +41,7 @@
 	return list
 }
 
-func TestKeeperRunsOnceOfMany(t *testing.T) {
+func TestConcurrentClaimsOfOneKeyRunOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -63,19 +64,19 @@
 		group.Wait()
 		must.Eq(t, 1, verdicts[VerdictRun])
 		time.Sleep(time.Second)
-		kept := keepers[1].Claim(ctx, simService, "order", "body")
-		must.Eq(t, Decision{Verdict: VerdictAnswered, Answer: []byte("done")}, kept)
+		stored := keepers[1].Claim(ctx, simService, "order", "body")
+		must.Eq(t, Decision{Verdict: VerdictAnswered, Answer: []byte("done")}, stored)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-func TestKeeperEndedContextIsNoQuorum(t *testing.T) {
+func TestClaimWithEndedContextReturnsNoQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		keepers := startKeepers(ctx, 5)
-		// Before Since nobody votes, so the claim waits until its context ends.
+		// No replica votes before Since, so the claim waits until its context ends.
 		short, stop := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer stop()
 		must.Eq(t, VerdictNoQuorum, keepers[0].Claim(short, simService, "order", "body").Verdict)
@@ -87,10 +88,10 @@
 	})
 }
 
-// BenchmarkClaim is the whole work of one claim and its finish at all five
-// replicas together, without codec and network.
+// BenchmarkClaim measures the total work of one claim and its finish at all
+// five replicas, without encoding and network.
 func BenchmarkClaim(b *testing.B) {
-	s := warmSim(workersOf(7, 1, 4))
+	s := newRecoveredSim(workersOf(7, 1, 4))
 	for _, p := range s.processes {
 		p.machine.config.MaxKeys = 1 << 30
 	}
@@ -102,16 +103,16 @@
 		number++
 		key := fmt.Sprintf("order-%d", number)
 		holder := s.submit(s.processes[number%len(s.processes)], key, "body")
-		s.settle()
+		s.deliverAll()
 		s.step(s.processes[number%len(s.processes)], Finish{Service: simService, Key: key, Holder: holder})
-		s.settle()
+		s.deliverAll()
 	}
 	b.ReportMetric(float64(bytes), "wire-bytes/op")
 	b.ReportMetric(float64(s.messages)/float64(number), "messages/op")
 }
 
-// claimBytes returns the bytes of all messages of one claim and its finish, as
-// JSON lines.
+// claimBytes returns the size of all messages of one claim and its finish,
+// encoded as JSON lines.
 func claimBytes(s *sim) int {
 	total := 0
 	flush := func() {
--- a/internal/claim/machine_test.go
+++ b/internal/claim/machine_test.go
@@ -9,7 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// testConfig has short times; the first vote is a second after the start.
+// testConfig returns settings with short times. Since is one second after the
+// start of a sim.
 func testConfig() Config {
 	return Config{
 		KeyLife: time.Minute, MaxClaim: 5 * time.Second, Retry: 50 * time.Millisecond,
@@ -17,54 +18,55 @@
 	}
 }
 
-// warmSim is a fleet that has started before Since and has recovered.
-func warmSim(workers []Worker) *sim { return simWith(testConfig(), workers) }
+// newRecoveredSim returns a fleet that started before Since and has recovered.
+func newRecoveredSim(workers []Worker) *sim { return newRunningSim(testConfig(), workers) }
 
-// simWith is a fleet that runs with the settings for two seconds.
-func simWith(config Config, workers []Worker) *sim {
+// newRunningSim returns a fleet that has run with the settings for two seconds.
+func newRunningSim(config Config, workers []Worker) *sim {
 	s := newSim(rand.New(rand.NewPCG(1, 1)), config, workers)
 	s.startAll()
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	return s
 }
 
-func TestClaimRunsOnceAndKeepsAnswer(t *testing.T) {
-	s := warmSim(workersOf(7, 1, 4))
+func TestRepeatedClaimReturnsStoredResponse(t *testing.T) {
+	s := newRecoveredSim(workersOf(7, 1, 4))
 	first := s.submit(s.processes[0], "order-1", "body")
-	s.settle()
+	s.deliverAll()
 	must.Eq(t, VerdictRun, s.decided[first].Verdict)
 
 	again := s.submit(s.processes[3], "order-1", "body")
-	s.pass(time.Second)
+	s.advance(time.Second)
 	must.Eq(t, VerdictBusy, s.decided[again].Verdict)
 	differs := s.submit(s.processes[1], "order-1", "another body")
-	s.pass(time.Second)
+	s.advance(time.Second)
 	must.Eq(t, VerdictMismatch, s.decided[differs].Verdict)
 
-	s.step(s.processes[0], Finish{Service: simService, Key: "order-1", Holder: first, Answer: []byte("done")})
-	s.settle()
-	kept := s.submit(s.processes[5], "order-1", "body")
-	s.pass(time.Second)
-	must.Eq(t, Decision{Verdict: VerdictAnswered, Answer: []byte("done")}, s.decided[kept])
+	s.step(s.processes[0], Finish{Service: simService, Key: "order-1", Holder: first, Response: []byte("done")})
+	s.deliverAll()
+	stored := s.submit(s.processes[5], "order-1", "body")
+	s.advance(time.Second)
+	must.Eq(t, Decision{Verdict: VerdictAnswered, Answer: []byte("done")}, s.decided[stored])
 
 	other := s.submit(s.processes[2], "order-1", "another body")
-	s.pass(time.Second)
+	s.advance(time.Second)
 	must.Eq(t, VerdictMismatch, s.decided[other].Verdict)
 	must.Eq(t, 1, s.runs("order-1"))
 }
 
-// claimAt submits through a process, lets all arrive and returns the verdict.
+// claimAt submits a claim through a process, delivers all messages and returns
+// the verdict.
 func claimAt(s *sim, p *process, key string) Verdict {
 	holder := s.submit(p, key, "body")
-	s.pass(s.config.MaxClaim + time.Second)
+	s.advance(s.config.MaxClaim + time.Second)
 	return s.decided[holder].Verdict
 }
 
-// replicasOf returns the processes of the key's present group, in its order.
+// replicasOf returns the processes of the key's current group, in its order.
 func replicasOf(s *sim, key string) []*process {
 	var replicas []*process
-	held := s.processes[0].machine.services[simService]
-	for _, worker := range held.current.groups[slotOf(key)] {
+	state := s.processes[0].machine.services[simService]
+	for _, worker := range state.current.groups[slotOf(key)] {
 		replicas = append(replicas, s.latest(worker))
 	}
 	return replicas
@@ -72,33 +74,34 @@
 
 func TestGroupsSpreadOverZones(t *testing.T) {
 	made := newConfiguration(simService, workersOf(9, 1, 4), DefaultGroupSize)
-	for _, one := range made.groups {
+	for _, replicas := range made.groups {
 		zones := make(map[string]int)
-		for _, name := range one {
+		for _, name := range replicas {
 			for _, worker := range made.workers {
 				if worker.Name == name {
 					zones[worker.Zone]++
 				}
 			}
 		}
-		must.Eq(t, 5, len(one))
+		must.Eq(t, 5, len(replicas))
 		must.Eq(t, 4, len(zones))
 	}
 	must.Eq(t, made.digest, newConfiguration("other", workersOf(9, 1, 4), 3).digest)
 	must.Eq(t, 3, len(newConfiguration(simService, workersOf(4, 1, 4), DefaultGroupSize).groups[0]))
 }
 
-func TestMinorityDoesNotRun(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+func TestClaimOnMinoritySideIsRefused(t *testing.T) {
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	s.cut["w01"], s.cut["w02"] = true, true
 	must.Eq(t, VerdictNoQuorum, claimAt(s, s.latest("w01"), "order"))
 	must.Eq(t, VerdictRun, claimAt(s, s.latest("w03"), "order"))
 }
 
-// The claim's holders restart: two of the three voters forget. Those that stay
-// are the third voter and the two that never heard of the claim.
+// Guards against a key running twice after two of its three voters have
+// restarted and lost their votes. The remaining replicas are the third voter
+// and two that never received the claim.
 func TestRestartedReplicaCopiesBeforeItVotes(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	group := replicasOf(s, "order")
 	s.cut[group[3].worker], s.cut[group[4].worker] = true, true
 	must.Eq(t, VerdictRun, claimAt(s, group[0], "order"))
@@ -107,12 +110,12 @@
 		s.kill(lost)
 		s.start(lost.worker, 1)
 	}
-	// The third voter is out of reach: no majority remembers.
+	// The third voter is unreachable: no majority has the vote.
 	s.cut[group[0].worker] = true
 	must.Eq(t, VerdictNoQuorum, claimAt(s, group[3], "order"))
-	// It is back: its copy is what the restarted ones were waiting for.
+	// It is reachable again: the restarted replicas recover from its copy.
 	clear(s.cut)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	must.Eq(t, VerdictBusy, claimAt(s, s.latest(group[1].worker), "order"))
 	must.Eq(t, 1, s.runs("order"))
 }
@@ -120,23 +123,24 @@
 func TestColdStartWaitsForKeyLife(t *testing.T) {
 	config := testConfig()
 	config.Since = time.Time{}
-	s := simWith(config, workersOf(5, 1, 3))
+	s := newRunningSim(config, workersOf(5, 1, 3))
 	must.Eq(t, VerdictNoQuorum, claimAt(s, s.processes[0], "early"))
-	s.pass(config.hold())
+	s.advance(config.retention())
 	must.Eq(t, VerdictRun, claimAt(s, s.processes[0], "late"))
 }
 
-func TestCopyOnlyNeverVotesByAge(t *testing.T) {
+func TestCopyOnlyColdStartIsRefused(t *testing.T) {
 	config := testConfig()
 	config.Since, config.CopyOnly = time.Time{}, true
-	s := simWith(config, workersOf(5, 1, 3))
+	s := newRunningSim(config, workersOf(5, 1, 3))
 	must.Eq(t, VerdictNoQuorum, claimAt(s, s.processes[0], "order"))
 }
 
-// All workers are replaced by others. The claim of the first ones must hold
-// under the second configuration, and new claims must be possible.
-func TestClaimHoldsThroughChangeOfAllWorkers(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+// All declared workers are replaced by others. Guards against an old key
+// running again under the new configuration, and against new claims being
+// refused there.
+func TestClaimSurvivesReplacementOfAllWorkers(t *testing.T) {
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	must.Eq(t, VerdictRun, claimAt(s, s.latest("w01"), "order"))
 	s.configs = append(s.configs, workersOf(5, 11, 3))
 	for _, worker := range s.configs[1] {
@@ -145,23 +149,24 @@
 	for _, p := range s.processes {
 		s.configure(p, 2)
 	}
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	must.Eq(t, VerdictBusy, claimAt(s, s.latest("w11"), "order"))
 	must.Eq(t, VerdictRun, claimAt(s, s.latest("w11"), "other"))
-	// Without the first workers there is no majority of theirs, until they
-	// have been out of the configuration for longer than records live.
+	// Without the first workers claims are refused, since a majority of them is
+	// required until they have left for longer than records are retained.
 	for _, worker := range s.configs[0] {
 		s.kill(s.latest(worker.Name))
 	}
 	must.Eq(t, VerdictNoQuorum, claimAt(s, s.latest("w12"), "order"))
-	s.pass(s.config.hold())
+	s.advance(s.config.retention())
 	must.Eq(t, VerdictRun, claimAt(s, s.latest("w12"), "next"))
 	must.Eq(t, 1, s.runs("order"))
 }
 
-// One part of the fleet is cut off with the old version.
-func TestOldAndNewGroupsDoNotBothRun(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+// Part of the fleet is cut off with the old version while the other part has
+// the new one. Guards against a key running in both groups.
+func TestKeyDoesNotRunInOldAndNewGroup(t *testing.T) {
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	s.configs = append(s.configs, workersOf(7, 3, 3)) // w03 to w09
 	for _, worker := range s.configs[1] {
 		s.cut[worker.Name] = s.latest(worker.Name) == nil
@@ -169,38 +174,39 @@
 			s.start(worker.Name, 2)
 		}
 	}
-	s.pass(time.Second)
+	s.advance(time.Second)
 	must.Eq(t, VerdictRun, claimAt(s, s.latest("w01"), "order"))
 	must.Eq(t, VerdictNoQuorum, claimAt(s, s.latest("w08"), "order"))
 	must.Eq(t, 1, s.runs("order"))
 }
 
 func TestCancelledAttemptNeverRunsAndFreesKey(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	holder := s.submit(s.processes[0], "order", "body")
 	s.step(s.processes[0], Cancelled{Holder: holder})
-	s.settle()
+	s.deliverAll()
 	must.MapNotContainsKey(t, s.decided, holder)
 	must.Eq(t, VerdictRun, claimAt(s, s.processes[1], "order"))
 }
 
 func TestReleasedRunFreesKey(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	holder := s.submit(s.processes[0], "order", "body")
-	s.settle()
+	s.deliverAll()
 	must.Eq(t, VerdictRun, s.decided[holder].Verdict)
 	s.step(s.processes[0], Release{Service: simService, Key: "order", Holder: holder})
-	s.settle()
+	s.deliverAll()
 	must.Eq(t, VerdictRun, claimAt(s, s.processes[1], "order"))
 }
 
-// Attempts through all nodes at once: one runs, the others are told so.
-func TestRivalsResolve(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+// One attempt through each node at the same time: one must run and the others
+// must get busy, although they split the votes of the first round.
+func TestConcurrentAttemptsThroughAllNodesRunOnce(t *testing.T) {
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	for _, p := range s.processes {
 		s.submit(p, "order", "body")
 	}
-	s.pass(s.config.MaxClaim + time.Second)
+	s.advance(s.config.MaxClaim + time.Second)
 	verdicts := make(map[Verdict]int)
 	for _, decision := range s.decided {
 		verdicts[decision.Verdict]++
@@ -208,58 +214,60 @@
 	must.Eq(t, map[Verdict]int{VerdictRun: 1, VerdictBusy: 4}, verdicts)
 }
 
-func TestFullTableRefusesAndKeepsOldKeys(t *testing.T) {
+func TestFullTableRefusesOnlyNewKeys(t *testing.T) {
 	config := testConfig()
 	config.MaxKeys = 2
-	s := simWith(config, workersOf(3, 1, 3))
+	s := newRunningSim(config, workersOf(3, 1, 3))
 	must.Eq(t, VerdictRun, claimAt(s, s.processes[0], "one"))
 	must.Eq(t, VerdictRun, claimAt(s, s.processes[0], "two"))
 	must.Eq(t, VerdictNoQuorum, claimAt(s, s.processes[0], "three"))
 	must.Eq(t, VerdictBusy, claimAt(s, s.processes[1], "one"))
-	must.Positive(t, s.logs[LogFull])
-	s.pass(config.hold())
+	must.Positive(t, s.logs[LogTableFull])
+	s.advance(config.retention())
 	must.Eq(t, VerdictRun, claimAt(s, s.processes[0], "three"))
 }
 
-func TestAnswersAreBounded(t *testing.T) {
-	kept, now := newTable(), time.Unix(0, 0)
+func TestStoredResponsesStayWithinBudget(t *testing.T) {
+	stored, now := newTable(), time.Unix(0, 0)
 	for _, key := range []string{"a", "b", "c"} {
-		kept.keep(key, kept.open(key, now, now.Add(time.Minute), 9), make([]byte, 4), 4, 10)
+		stored.storeResponse(key, stored.findOrCreate(key, now, now.Add(time.Minute), 9), make([]byte, 4), 4, 10)
 	}
-	kept.keep("d", kept.open("d", now, now.Add(time.Minute), 9), make([]byte, 5), 4, 10)
-	must.Eq(t, 8, kept.answerBytes)
-	must.Nil(t, kept.find("a", now).answer)
-	must.NotNil(t, kept.find("c", now).answer)
-	must.Nil(t, kept.find("d", now).answer)
-	kept.sweep(now.Add(time.Hour))
-	must.Eq(t, 0, kept.answerBytes)
-	must.MapEmpty(t, kept.records)
+	stored.storeResponse("d", stored.findOrCreate("d", now, now.Add(time.Minute), 9), make([]byte, 5), 4, 10)
+	must.Eq(t, 8, stored.responseBytes)
+	must.Nil(t, stored.find("a", now).response)
+	must.NotNil(t, stored.find("c", now).response)
+	must.Nil(t, stored.find("d", now).response)
+	stored.sweep(now.Add(time.Hour))
+	must.Eq(t, 0, stored.responseBytes)
+	must.MapEmpty(t, stored.records)
 }
 
-// A process that was paused for longer than records live starts over, and one
-// beside whose worker another node stands takes no part.
+// A process that was paused for longer than records are retained must recover
+// again. One whose worker has another node beside it must not vote or
+// coordinate.
 func TestPausedAndReplacedProcessesDoNotVote(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	paused := s.latest("w01")
-	held := paused.machine.services[simService]
-	must.Eq(t, allSlots, held.ready())
+	state := paused.machine.services[simService]
+	must.Eq(t, allSlots, state.readySlots())
 	paused.frozen = true
-	s.pass(s.config.hold())
+	s.advance(s.config.retention())
 	s.step(paused, Tick{})
-	must.Eq(t, 0, held.ready())
+	must.Eq(t, 0, state.readySlots())
 	paused.frozen = false
-	s.pass(time.Second)
-	must.Eq(t, allSlots, held.ready())
+	s.advance(time.Second)
+	must.Eq(t, allSlots, state.readySlots())
 
 	s.start("w01", 1)
 	must.Eq(t, VerdictNoQuorum, claimAt(s, paused, "order"))
 	must.Eq(t, VerdictRun, claimAt(s, s.latest("w01"), "order"))
 }
 
-// Two processes of one worker that both learn of a third must not take the
-// same incarnation: their votes would count as those of one.
-func TestOvertakingIncarnationsDiffer(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+// Two processes of one worker both learn of a third with a greater incarnation.
+// If they took the same new one, votes of one would count as those of the
+// other.
+func TestProcessesRaisingIncarnationTakeDifferentOnes(t *testing.T) {
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	known := map[string]uint64{"w01": uint64(s.now.Add(time.Minute).UnixNano())}
 	first, second := s.latest("w01"), s.start("w01", 1)
 	for _, p := range []*process{first, second} {
@@ -270,14 +278,15 @@
 }
 
 // Found by experiments/failure-source.yaml: a node whose own replica had not
-// recovered held keyed requests, and their slots, until their deadlines.
-func TestNodeThatMayNotCoordinateRefusesAtOnce(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+// recovered delayed requests with a key until their deadlines, and their slots
+// were occupied for that time.
+func TestUnrecoveredNodeRefusesBeforeDeadline(t *testing.T) {
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	for _, p := range slices.Clone(s.processes)[:3] {
 		s.kill(p)
 		s.start(p.worker, 1)
 	}
 	holder := s.submit(s.processes[4], "order", "body")
-	s.pass(waitFactor*s.config.Retry + s.config.Retry)
+	s.advance(phaseTimeoutFactor*s.config.Retry + s.config.Retry)
 	must.Eq(t, VerdictNoQuorum, s.decided[holder].Verdict)
 }
--- a/internal/claim/notice.go
+++ b/internal/claim/notice.go
@@ -8,35 +8,35 @@
 
 // Bounds of notices.
 const (
-	noticeTries       = 6    // a notice is sent so many times
-	noticeRetryFactor = 4    // after so many Config.Retry
-	maxNotices        = 1024 // beyond that the replicas are told once only
+	maxNoticeAttempts = 6    // times that a notice is sent
+	noticeRetryFactor = 4    // resend interval in multiples of Config.Retry
+	maxNotices        = 1024 // notices tracked; further ones are sent only once
 )
 
-// notice is a finish or release on its way to the replicas.
+// notice is a finish or release that is being sent to the replicas.
 type notice struct {
-	service string
-	request wire.ClaimRequest
-	left    map[string]bool // workers that have not noted it
-	tries   int
-	next    time.Time
+	service        string
+	request        wire.ClaimRequest
+	unacknowledged map[string]bool // workers whose replica has not acknowledged it
+	attempts       int
+	resendAt       time.Time
 }
 
-// finish tells the replicas that a run has ended.
+// finish notifies the replicas that a run has ended.
 func (m *Machine) finish(event Finish, now time.Time) []Effect {
 	a := m.running[event.Holder]
 	if a == nil {
 		return nil
 	}
 	delete(m.running, event.Holder)
-	answer := event.Answer
-	if len(answer) > m.config.AnswerBytes {
-		answer = nil
+	response := event.Response
+	if len(response) > m.config.MaxResponseBytes {
+		response = nil
 	}
-	return m.notify(a, wire.ClaimFinish, answer, now)
+	return m.notify(a, wire.ClaimFinish, response, now)
 }
 
-// release tells the replicas that a run did not take place.
+// release notifies the replicas that a run did not take place.
 func (m *Machine) release(holder string, now time.Time) []Effect {
 	a := m.running[holder]
 	if a == nil {
@@ -46,57 +46,59 @@
 	return m.notify(a, wire.ClaimRelease, nil, now)
 }
 
-// notify tells all replicas, the own one at once, and again until they note it.
-func (m *Machine) notify(a *attempt, kind wire.ClaimKind, answer []byte, now time.Time) []Effect {
-	held := m.services[a.claim.Service]
-	a.number = m.nextNumber()
-	sent := &notice{service: held.name, request: m.request(a, kind, held), left: make(map[string]bool)}
-	sent.request.Answer = answer
-	sent.request.Round = max(a.round, a.highest)
-	groups := append(held.groups(slotOf(a.claim.Key), now, m.config.hold()), a.groups...)
+// notify sends a notice to all replicas and tracks it until they acknowledge
+// it. The node's own replica handles it directly.
+func (m *Machine) notify(a *attempt, kind wire.ClaimKind, response []byte, now time.Time) []Effect {
+	state := m.services[a.claim.Service]
+	a.requestNumber = m.nextNumber()
+	sent := &notice{service: state.name, request: m.newRequest(a, kind, state), unacknowledged: make(map[string]bool)}
+	sent.request.Answer = response
+	sent.request.Round = max(a.round, a.highestRound)
+	groups := append(state.requiredGroups(slotOf(a.claim.Key), now, m.config.retention()), a.groups...)
 	for _, worker := range members(groups) {
 		if worker == m.config.Worker {
-			m.answer(sent.request, now)
+			m.handleRequest(sent.request, now)
 			continue
 		}
-		sent.left[worker] = true
+		sent.unacknowledged[worker] = true
 	}
-	if len(sent.left) > 0 && len(m.notices) < maxNotices {
-		m.notices[a.number] = sent
+	if len(sent.unacknowledged) > 0 && len(m.notices) < maxNotices {
+		m.notices[a.requestNumber] = sent
 	}
-	return m.sendNotice(sent, held, now)
+	return m.sendNotice(sent, state, now)
 }
 
-func (m *Machine) sendNotice(sent *notice, held *service, now time.Time) []Effect {
-	sent.tries++
-	sent.next = now.Add(noticeRetryFactor * m.config.Retry)
+func (m *Machine) sendNotice(sent *notice, state *serviceState, now time.Time) []Effect {
+	sent.attempts++
+	sent.resendAt = now.Add(noticeRetryFactor * m.config.Retry)
 	var effects []Effect
-	for _, worker := range sortedKeys(sent.left) {
-		effects = m.send(effects, held, worker, wire.Envelope{ClaimRequest: &sent.request})
+	for _, worker := range sortedKeys(sent.unacknowledged) {
+		effects = m.send(effects, state, worker, wire.Envelope{ClaimRequest: &sent.request})
 	}
 	return effects
 }
 
-// repeatNotice sends a notice again to those that have not noted it.
-func (m *Machine) repeatNotice(sent *notice, now time.Time) []Effect {
-	if now.Before(sent.next) {
+// resendNotice sends a due notice again to the replicas that have not
+// acknowledged it, and drops it after maxNoticeAttempts.
+func (m *Machine) resendNotice(sent *notice, now time.Time) []Effect {
+	if now.Before(sent.resendAt) {
 		return nil
 	}
-	if sent.tries >= noticeTries {
+	if sent.attempts >= maxNoticeAttempts {
 		delete(m.notices, sent.request.Number)
 		return nil
 	}
 	return m.sendNotice(sent, m.services[sent.service], now)
 }
 
-// noted takes in that a replica has noted a finish or release.
-func (m *Machine) noted(reply wire.ClaimReply) {
+// receiveNoticeAck records that a replica has acknowledged a finish or release.
+func (m *Machine) receiveNoticeAck(reply wire.ClaimReply) {
 	sent := m.notices[reply.Number]
 	if sent == nil {
 		return
 	}
-	delete(sent.left, reply.Worker)
-	if len(sent.left) == 0 {
+	delete(sent.unacknowledged, reply.Worker)
+	if len(sent.unacknowledged) == 0 {
 		delete(m.notices, reply.Number)
 	}
 }
--- a/internal/claim/race_test.go
+++ b/internal/claim/race_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// deliverBetween hands over what is under way from one node to another.
+// deliverBetween delivers the messages in transit from one node to another.
 func deliverBetween(s *sim, from, to *process) {
 	for index := len(s.network) - 1; index >= 0; index-- {
 		if s.network[index].from == from.node && s.network[index].to == to.node {
@@ -17,8 +17,8 @@
 	}
 }
 
-// exchange hands over what is under way between a process and others, there
-// and back.
+// exchange delivers the messages in transit from a process to each of the
+// others, and then those in the other direction.
 func exchange(s *sim, p *process, others ...*process) {
 	for _, other := range others {
 		deliverBetween(s, p, other)
@@ -26,10 +26,11 @@
 	}
 }
 
-// A replica votes, restarts and recovers from others that have not yet heard
-// of the claim. Its old vote must not make up a majority with theirs.
+// A replica votes, restarts, and recovers from others that have not received
+// the claim yet. Guards against its old vote forming a majority with their
+// later votes.
 func TestVoteOfReplacedProcessDoesNotCount(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	group := replicasOf(s, "order")
 	s.submit(group[0], "order", "body")
 	exchange(s, group[0], group[1])
@@ -43,10 +44,11 @@
 	must.Eq(t, 1, s.runs("order"))
 }
 
-// Two replicas stay behind with the old workers, whose majority has long left
-// them. A replica of both configurations must not vote for the old one.
+// Two replicas still use the old workers, whose majority has left them for
+// longer than records are retained. Guards against a replica of both
+// configurations voting for the old one, which would let a key run in both.
 func TestSettledConfigurationGetsNoVotes(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	s.configs = append(s.configs, workersOf(7, 3, 3)) // w03 to w09
 	for _, worker := range s.configs[1] {
 		if p := s.latest(worker.Name); p != nil {
@@ -55,13 +57,13 @@
 		}
 		s.start(worker.Name, 2)
 	}
-	s.pass(s.config.hold() + 5*time.Second)
-	held := s.latest("w03").machine.services[simService]
-	must.SliceEmpty(t, held.priors)
+	s.advance(s.config.retention() + 5*time.Second)
+	state := s.latest("w03").machine.services[simService]
+	must.SliceEmpty(t, state.priors)
 	key := ""
 	for number := 0; key == ""; number++ {
 		candidate := fmt.Sprintf("order-%d", number)
-		if held.current.groups[slotOf(candidate)].contains("w03") {
+		if state.current.groups[slotOf(candidate)].contains("w03") {
 			key = candidate
 		}
 	}
@@ -71,10 +73,11 @@
 	must.Eq(t, 1, s.runs(key))
 }
 
-// A coordinator holds promises of a majority and is about to ask for votes. One
-// that promised restarts: its next process must not vote in a lower ballot.
-func TestPromiseOutlivesRestart(t *testing.T) {
-	s := warmSim(workersOf(5, 1, 3))
+// A coordinator has promises of a majority and is about to request votes. A
+// replica that promised restarts. Guards against its next process voting in a
+// lower ballot, which would let a rival run the key too.
+func TestRestartedReplicaKeepsItsPromise(t *testing.T) {
+	s := newRecoveredSim(workersOf(5, 1, 3))
 	group := replicasOf(s, "order")
 	first, second := group[0], group[4]
 	s.submit(second, "order", "body")
@@ -90,12 +93,12 @@
 	s.kill(group[1])
 	restarted := s.start(group[1].worker, 1)
 	exchange(s, restarted, group[2], group[3], second)
-	must.Eq(t, allSlots, restarted.machine.services[simService].ready())
+	must.Eq(t, allSlots, restarted.machine.services[simService].readySlots())
 	for range 5 {
 		s.tick(20 * time.Millisecond)
 		exchange(s, second, restarted, group[3])
 	}
 	exchange(s, first, restarted, group[2])
-	s.pass(s.config.MaxClaim + time.Second)
+	s.advance(s.config.MaxClaim + time.Second)
 	must.Eq(t, 1, s.runs("order"))
 }
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -7,8 +7,8 @@
 	"sliphead/internal/wire"
 )
 
-// ballot orders the attempts on one key. Round 0 is open to every holder; a
-// later round belongs to one holder.
+// ballot orders the attempts on one key. Round 0 is open to every holder; each
+// later ballot belongs to one holder.
 type ballot struct {
 	round  uint64
 	holder string
@@ -22,112 +22,114 @@
 	return cmp.Or(cmp.Compare(b.round, other.round), cmp.Compare(b.holder, other.holder))
 }
 
-// record is one key as a replica holds it.
+// record is a replica's state of one key.
 type record struct {
-	body     string // digest of the request that the vote was for
-	holder   string // attempt voted for, "" if none
-	round    uint64 // round of that vote
-	promised ballot // lower ballots are refused
-	finished bool
-	unsure   bool // the vote of an earlier process can't be told
-	answer   []byte
-	expires  time.Time
+	bodyDigest string // digest of the request that was voted for
+	holder     string // attempt voted for, "" if none
+	round      uint64 // round of that vote
+	promised   ballot // lower ballots are refused
+	finished   bool
+	unsure     bool // it is unknown which of two holders this replica's earlier process voted for
+	response   []byte
+	expires    time.Time
 }
 
-// table is the records of one service, by key, bounded in keys and in bytes of
-// kept answers.
+// table holds the records of one service by key. The number of keys and the
+// total size of the stored responses are bounded.
 type table struct {
-	records     map[string]*record
-	answers     []string // keys with a kept answer, oldest first
-	answerBytes int
+	records       map[string]*record
+	responseKeys  []string // keys with a stored response, oldest first
+	responseBytes int
 }
 
 func newTable() *table { return &table{records: make(map[string]*record)} }
 
 // find returns the unexpired record of a key, nil if there is none.
 func (t *table) find(key string, now time.Time) *record {
-	held := t.records[key]
-	if held == nil || held.expires.After(now) {
-		return held
+	entry := t.records[key]
+	if entry == nil || entry.expires.After(now) {
+		return entry
 	}
 	t.remove(key)
 	return nil
 }
 
-// open returns the record of a key and makes one when there is room. It
+// findOrCreate returns the record of a key, creating it if there is room. It
 // returns nil when the table is full: an unexpired record is never evicted.
-func (t *table) open(key string, now time.Time, expires time.Time, limit int) *record {
-	held := t.find(key, now)
-	if held == nil && len(t.records) >= limit {
+func (t *table) findOrCreate(key string, now time.Time, expires time.Time, limit int) *record {
+	entry := t.find(key, now)
+	if entry == nil && len(t.records) >= limit {
 		t.sweep(now)
 	}
-	if held == nil && len(t.records) >= limit {
+	if entry == nil && len(t.records) >= limit {
 		return nil
 	}
-	if held == nil {
-		held = &record{expires: expires}
-		t.records[key] = held
+	if entry == nil {
+		entry = &record{expires: expires}
+		t.records[key] = entry
 	}
-	return held
+	return entry
 }
 
-// extend lengthens the life of a record.
+// extend moves the expiry of a record to a later time, never to an earlier one.
 func (r *record) extend(expires time.Time) {
 	if expires.After(r.expires) {
 		r.expires = expires
 	}
 }
 
-// keep stores an answer if it fits, at the cost of the oldest ones.
-func (t *table) keep(key string, held *record, answer []byte, each, budget int) {
-	if len(answer) == 0 || len(answer) > min(each, budget) || held.answer != nil {
+// storeResponse stores a response if it fits, and evicts the oldest ones to
+// make room.
+func (t *table) storeResponse(key string, entry *record, response []byte, maxBytes, budget int) {
+	if len(response) == 0 || len(response) > min(maxBytes, budget) || entry.response != nil {
 		return
 	}
-	for t.answerBytes+len(answer) > budget {
-		t.dropAnswer(t.answers[0])
+	for t.responseBytes+len(response) > budget {
+		t.dropResponse(t.responseKeys[0])
 	}
-	held.answer = answer
-	t.answers = append(t.answers, key)
-	t.answerBytes += len(answer)
+	entry.response = response
+	t.responseKeys = append(t.responseKeys, key)
+	t.responseBytes += len(response)
 }
 
-// dropAnswer forgets the kept answer of a key, but not that it ran.
-func (t *table) dropAnswer(key string) {
-	for index, candidate := range t.answers {
+// dropResponse evicts the stored response of a key. The record stays finished.
+func (t *table) dropResponse(key string) {
+	for index, candidate := range t.responseKeys {
 		if candidate != key {
 			continue
 		}
-		t.answers = append(t.answers[:index], t.answers[index+1:]...)
-		t.answerBytes -= len(t.records[key].answer)
-		t.records[key].answer = nil
+		t.responseKeys = append(t.responseKeys[:index], t.responseKeys[index+1:]...)
+		t.responseBytes -= len(t.records[key].response)
+		t.records[key].response = nil
 		return
 	}
 }
 
 func (t *table) remove(key string) {
-	t.dropAnswer(key)
+	t.dropResponse(key)
 	delete(t.records, key)
 }
 
-// sweep removes the records whose life is over.
+// sweep removes the expired records.
 func (t *table) sweep(now time.Time) {
-	for key, held := range t.records {
-		if !held.expires.After(now) {
+	for key, entry := range t.records {
+		if !entry.expires.After(now) {
 			t.remove(key)
 		}
 	}
 }
 
-// merge joins what another replica holds into a record of a replica that has
-// forgotten its votes. It may have cast any vote that others report, so it
-// takes the vote of the highest ballot; two holders in round 0 leave it unsure.
+// merge joins another replica's record into that of a replica that has lost its
+// votes. It may have cast any vote that others report, so it takes the vote of
+// the highest ballot. Two holders in round 0 have equal ballots and leave it
+// unsure.
 func (r *record) merge(copied wire.ClaimRecord) {
 	promised := ballot{copied.PromisedRound, copied.PromisedHolder}
 	if promised.compare(r.promised) > 0 {
 		r.promised = promised
 	}
 	if copied.Finished && !r.finished {
-		r.finished, r.body, r.holder, r.round = true, copied.Body, copied.Holder, copied.Round
+		r.finished, r.bodyDigest, r.holder, r.round = true, copied.Body, copied.Holder, copied.Round
 	}
 	r.unsure = r.unsure || copied.Unsure
 	if r.finished || copied.Holder == "" {
@@ -140,16 +142,16 @@
 	theirs, ours := ballot{copied.Round, copied.Holder}, ballot{r.round, r.holder}
 	switch {
 	case r.holder == "" || theirs.compare(ours) > 0:
-		r.holder, r.round, r.body = copied.Holder, copied.Round, copied.Body
+		r.holder, r.round, r.bodyDigest = copied.Holder, copied.Round, copied.Body
 	case theirs.compare(ours) == 0:
 		r.unsure = true
 	}
 }
 
-// export returns the record as it is copied, without its answer.
+// export returns the record as sent to other replicas, without its response.
 func (r *record) export(service, key string, now time.Time) wire.ClaimRecord {
 	return wire.ClaimRecord{
-		Service: service, Key: key, Body: r.body, Holder: r.holder, Round: r.round,
+		Service: service, Key: key, Body: r.bodyDigest, Holder: r.holder, Round: r.round,
 		Finished: r.finished, Unsure: r.unsure,
 		PromisedRound: r.promised.round, PromisedHolder: r.promised.holder,
 		ExpiresMS: r.expires.Sub(now).Milliseconds() + 1,
--- a/internal/claim/sim_test.go
+++ b/internal/claim/sim_test.go
@@ -11,7 +11,7 @@
 	"sliphead/internal/wire"
 )
 
-// process is one run of a node's process beside a worker.
+// process is one process of a node beside a worker.
 type process struct {
 	worker  string
 	node    string
@@ -20,39 +20,41 @@
 	version uint64
 }
 
-// flight is a message under way.
-type flight struct {
+// inFlight is a message in transit.
+type inFlight struct {
 	from, to string
 	message  wire.Envelope
 }
 
-// run is an entry of the journal of the workers.
+// run is one run of a request, as recorded in the journal.
 type run struct {
 	key, body, holder string
 	at                time.Time
 }
 
-// attemptName is an attempt's holder and the node that coordinates it.
-type attemptName struct{ name, node string }
+// attemptID identifies an attempt by its holder and the node that coordinates
+// it.
+type attemptID struct{ name, node string }
 
 const simService = "orders"
 
-// sim is a fleet of machines on a lossy network with a journal of runs.
+// sim is a fleet of machines on an unreliable network, with a journal of the
+// runs.
 type sim struct {
 	random    *rand.Rand
 	now       time.Time
 	config    Config
 	configs   [][]Worker // by version, from 1
-	processes []*process // all that run, the newest of a worker last
+	processes []*process // running or frozen; for each worker the newest is last
 	started   int
 	submitted int
-	network   []flight
-	cut       map[string]bool // workers on the minor side of a cut
+	network   []inFlight
+	cut       map[string]bool // workers on one side of a network cut
 	journal   []run
 	decided   map[string]Decision
-	undone    map[string]bool // holders that were released, cancelled or refused
+	notRun    map[string]bool // holders that were released, cancelled or refused
 	claims    map[string]Claim
-	holders   []attemptName // in the order of their start
+	holders   []attemptID // in order of start
 	logs      map[LogName]int
 	messages  int
 }
@@ -60,12 +62,13 @@
 func newSim(random *rand.Rand, config Config, workers []Worker) *sim {
 	return &sim{
 		random: random, config: config, configs: [][]Worker{workers}, now: time.Unix(1_800_000_000, 0),
-		cut: make(map[string]bool), decided: make(map[string]Decision), undone: make(map[string]bool),
+		cut: make(map[string]bool), decided: make(map[string]Decision), notRun: make(map[string]bool),
 		claims: make(map[string]Claim), logs: make(map[LogName]int),
 	}
 }
 
-// workersOf makes count workers over the zones.
+// workersOf returns count workers, numbered from first and spread over the
+// zones.
 func workersOf(count, first, zones int) []Worker {
 	var workers []Worker
 	for index := range count {
@@ -75,8 +78,8 @@
 	return workers
 }
 
-// start runs a new process for a worker that knows the version.
-func (s *sim) start(worker string, known uint64) *process {
+// start starts a new process for a worker with the given version.
+func (s *sim) start(worker string, revision uint64) *process {
 	s.started++
 	config := s.config
 	config.Worker, config.Node = worker, fmt.Sprintf("%s#%d", worker, s.started)
@@ -84,7 +87,7 @@
 	s.now = s.now.Add(time.Microsecond)
 	p := &process{worker: worker, node: config.Node, machine: NewMachine(config, s.now)}
 	s.processes = append(s.processes, p)
-	p.version = known
+	p.version = revision
 	for _, other := range s.processes {
 		if !other.frozen {
 			s.configure(other, other.version)
@@ -93,14 +96,14 @@
 	return p
 }
 
-// startAll runs a process for each worker of the first version.
+// startAll starts a process for each worker of the first version.
 func (s *sim) startAll() {
 	for _, worker := range s.configs[0] {
 		s.start(worker.Name, 1)
 	}
 }
 
-// configure tells a process of a version and of the newest nodes.
+// configure gives a process a version and the newest node of each worker.
 func (s *sim) configure(p *process, number uint64) {
 	p.version = number
 	nodes := make(map[string]string)
@@ -114,7 +117,7 @@
 	})
 }
 
-// kill ends a process; what it sent stays under way.
+// kill removes a process. Its messages stay in transit.
 func (s *sim) kill(p *process) {
 	s.processes = slices.DeleteFunc(s.processes, func(other *process) bool { return other == p })
 }
@@ -142,20 +145,20 @@
 func (s *sim) submit(p *process, key, body string) string {
 	s.submitted++
 	holder := fmt.Sprintf("%s/%d", p.node, s.submitted)
-	claim := Claim{Service: simService, Key: key, Body: body, Holder: holder, Deadline: s.now.Add(s.config.MaxClaim)}
+	claim := Claim{Service: simService, Key: key, BodyDigest: body, Holder: holder, Deadline: s.now.Add(s.config.MaxClaim)}
 	s.claims[holder] = claim
-	s.holders = append(s.holders, attemptName{holder, p.node})
+	s.holders = append(s.holders, attemptID{holder, p.node})
 	s.step(p, claim)
 	return holder
 }
 
-// step feeds a process and carries out the effects; a frozen one gets nothing.
+// step passes an event to a process and carries out the effects.
 func (s *sim) step(p *process, event Event) {
 	for _, effect := range p.machine.Step(event, s.now) {
 		switch effect := effect.(type) {
 		case Send:
 			s.messages++
-			s.network = append(s.network, flight{p.node, effect.Outgoing.To, effect.Outgoing.Message})
+			s.network = append(s.network, inFlight{p.node, effect.Outgoing.To, effect.Outgoing.Message})
 		case Decided:
 			s.decide(p, effect)
 		case Log:
@@ -164,22 +167,24 @@
 	}
 }
 
-// decide carries a decision out: runs the request, or gives it up.
+// decide records a decision, and on VerdictRun runs the request.
 func (s *sim) decide(p *process, effect Decided) {
 	if _, twice := s.decided[effect.Holder]; twice {
 		panic("decided twice: " + effect.Holder)
 	}
 	s.decided[effect.Holder] = effect.Decision
 	if effect.Decision.Verdict != VerdictRun {
-		s.undone[effect.Holder] = true
+		s.notRun[effect.Holder] = true
 		return
 	}
 	claim := s.claims[effect.Holder]
-	entry := run{claim.Key, claim.Body, effect.Holder, s.now}
+	entry := run{claim.Key, claim.BodyDigest, effect.Holder, s.now}
 	s.journal = append(s.journal, entry)
 }
 
-// deliver hands over the message at an index, unless the network is cut there.
+// deliver delivers the message at an index, unless a cut separates the nodes or
+// the receiver has been killed or is frozen. With keep the message stays in
+// transit.
 func (s *sim) deliver(index int, keep bool) {
 	message := s.network[index]
 	if !keep {
@@ -198,17 +203,18 @@
 	return worker
 }
 
-// pass lets time go by in steps, each with a tick, and delivers all messages.
-func (s *sim) pass(total time.Duration) {
+// advance lets time pass in steps of 20 ms, each with a tick, and delivers all
+// messages after each.
+func (s *sim) advance(total time.Duration) {
 	const step = 20 * time.Millisecond
 	for end := s.now.Add(total); s.now.Before(end); {
 		s.tick(step)
-		s.settle()
+		s.deliverAll()
 	}
 }
 
-// settle delivers until nothing is under way.
-func (s *sim) settle() {
+// deliverAll delivers messages until none is in transit.
+func (s *sim) deliverAll() {
 	for len(s.network) > 0 {
 		s.deliver(0, false)
 	}
@@ -223,7 +229,7 @@
 	}
 }
 
-// runs returns how often a key ran.
+// runs returns how many times a key ran.
 func (s *sim) runs(key string) int {
 	total := 0
 	for _, entry := range s.journal {
