--- a/internal/distribution/bench_test.go
+++ b/internal/distribution/bench_test.go
@@ -13,7 +13,7 @@
 	"sliphead/internal/wire"
 )
 
-// The simulated network of the target: two regions with five zones.
+// The benchmarked network: two regions with five zones in total.
 const (
 	betweenRegions = 3 * time.Millisecond
 	benchZones     = 5
@@ -37,11 +37,11 @@
 	return 500*time.Microsecond + time.Duration(f.random.Intn(1000))*time.Microsecond
 }
 
-// traffic counts what stream messages cost.
+// traffic counts the stream messages and their encoded bytes.
 type traffic struct {
 	bytes    int
-	messages map[string]int // sent by each node
-	encoded  map[any]int    // length by identity of the shared part
+	messages map[string]int // sent, by node
+	encoded  map[any]int    // length of a push, which its receivers share
 }
 
 func (c *traffic) count(from, _ *simNode, message wire.Envelope) {
@@ -63,8 +63,9 @@
 	return len(line) + 1
 }
 
-// BenchmarkFleet changes one worker's labels in a set of as many workers as
-// nodes. Time of convergence is virtual and leaves out encoding and sockets.
+// BenchmarkFleet changes the labels of one worker, in a set with as many
+// workers as nodes. The convergence times are virtual and leave out encoding
+// and sockets.
 func BenchmarkFleet(b *testing.B) {
 	for _, nodes := range []int{24, 100, 400, 850} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
@@ -80,7 +81,7 @@
 	f.delay = f.targetDelay
 	f.startAll()
 	f.publish(edition{revision: 1, workers: nodes}.set(b))
-	must.True(b, f.until(f.now.Add(20*time.Second), func() bool { return f.agreeNow() }))
+	must.True(b, f.runUntil(f.now.Add(20*time.Second), func() bool { return f.agreeOnFirst() }))
 	f.run(time.Second)
 
 	var times []time.Duration
@@ -95,10 +96,10 @@
 		began, before := f.now, f.cpu()
 		next := edition{revision: uint64(change + 2), workers: nodes}.set(b)
 		f.onActive = func(_ *simNode, v version.Version) { times = append(times, f.now.Sub(began)) }
-		f.step(f.byName[f.nodes[0].machine.view.leader()], SourceRead{Set: next})
+		f.step(f.nodeByName[f.nodes[0].machine.view.leader()], SourceRead{Set: next})
 		f.run(time.Second)
 		busy += f.cpu() - before - idle
-		must.True(b, f.agreeNow())
+		must.True(b, f.agreeOnFirst())
 	}
 	slices.Sort(times)
 	most, root := 0, f.nodes[0].machine.view.leader()
@@ -115,8 +116,8 @@
 	b.ReportMetric(float64(busy.Nanoseconds())/float64(nodes*benchChanges), "cpu-ns/node/change")
 }
 
-// BenchmarkMembersChange takes one member away or gives it back, and derives the
-// duties anew and, as before a push, this node's part of the tree.
+// BenchmarkMembersChange removes or restores one member and derives the duties,
+// and in "tree" also this node's children as before a push.
 func BenchmarkMembersChange(b *testing.B) {
 	b.Run("duties", func(b *testing.B) { benchmarkMembersChange(b, func(*view) {}) })
 	b.Run("tree", func(b *testing.B) { benchmarkMembersChange(b, func(v *view) { v.childrenFor(v.leader()) }) })
@@ -125,7 +126,7 @@
 func benchmarkMembersChange(b *testing.B, then func(*view)) {
 	members := membersIn(850, benchZones)
 	fewer := slices.Delete(slices.Clone(members), 400, 401)
-	machine := single(time.Unix(1, 0))
+	machine := newSingleMachine(time.Unix(1, 0))
 	next, other := fewer, members
 	for b.Loop() {
 		machine.Step(Members{Live: next}, machine.now)
@@ -134,7 +135,7 @@
 	}
 }
 
-// cpu returns the time spent in steps, by the wall clock.
+// cpu returns the wall time spent in the steps of all nodes.
 func (f *fleet) cpu() time.Duration {
 	var total time.Duration
 	for _, node := range f.nodes {
@@ -143,12 +144,12 @@
 	return total
 }
 
-func (f *fleet) agreeNow() bool {
+func (f *fleet) agreeOnFirst() bool {
 	return f.nodes[0].fresh && f.agree(f.nodes[0].active)
 }
 
-// BenchmarkStart gives the virtual time until one restarted node is fresh, and
-// until a fleet that starts at once agrees.
+// BenchmarkStart measures the virtual time until a restarted node is fresh, and
+// until a fleet that starts at once agrees on a version.
 func BenchmarkStart(b *testing.B) {
 	const nodes, restarts = 100, 50
 	for b.Loop() {
@@ -157,7 +158,7 @@
 		began := f.now
 		f.startAll()
 		f.publish(edition{revision: 1, workers: nodes}.set(b))
-		must.True(b, f.until(f.now.Add(20*time.Second), f.agreeNow))
+		must.True(b, f.runUntil(f.now.Add(20*time.Second), f.agreeOnFirst))
 		b.ReportMetric(f.now.Sub(began).Seconds()*1000, "fleet-ms")
 		f.run(time.Second)
 		var times []time.Duration
@@ -165,7 +166,7 @@
 			f.start(node)
 			f.updateMembers(0)
 			began = f.now
-			must.True(b, f.until(f.now.Add(20*time.Second), func() bool { return node.fresh }))
+			must.True(b, f.runUntil(f.now.Add(20*time.Second), func() bool { return node.fresh }))
 			times = append(times, f.now.Sub(began))
 		}
 		slices.Sort(times)
--- a/internal/distribution/catchup.go
+++ b/internal/distribution/catchup.go
@@ -8,136 +8,138 @@
 	"sliphead/internal/wire"
 )
 
-// phase is how far a node has caught up with its peers.
+// phase is a node's progress in catching up with its peers.
 type phase string
 
 // The phases of catching up.
 const (
-	phaseStarting phase = "starting"  // the process has no memory: nothing is put in force yet
+	phaseStarting phase = "starting"  // the process has just started without any version: nothing is activated yet
 	phaseResumed  phase = "resumed"   // the process was paused and has no duties
-	phaseCaughtUp phase = "caught-up" // no accepted version is known that is not held
+	phaseCaughtUp phase = "caught-up" // no accepted version is known that this node lacks
 )
 
-// reportsPerZone is the number of members of each zone whose report a started
-// node waits for.
-const reportsPerZone = 2
+// minReportsPerZone is the number of members of each zone whose report a
+// started node waits for.
+const minReportsPerZone = 2
 
-// confirmersAsked is the number of peers that a resumed node asks at a time.
-const confirmersAsked = 3
+// peersPerQuery is the number of random peers that a node queries at a time
+// after a pause.
+const peersPerQuery = 3
 
-// report is the version in force at a peer, as it says itself. Only its answer
-// to a question of this phase is sure to have been given since the phase began.
+// report is the version in force at a peer, as reported by that peer. Only a
+// reply to a query of the current phase is certain to have been sent since the
+// phase began; gossip may be older.
 type report struct {
-	active   version.Version // by gossip or answer
-	answered bool
-	answer   version.Version // the last answer
-	start    int64           // of the peer's process
+	active       version.Version // from gossip or a reply
+	replied      bool
+	replyVersion version.Version // from the last reply
+	processStart int64           // start time of the peer's process
 }
 
-// counts says whether the report ends the wait for the peer. That of a peer that
-// holds nothing does not: it may itself have just been started.
-func (r report) counts() bool { return r.answered && !r.answer.IsZero() }
+// isUsable reports whether the peer replied with a version. A reply without one
+// does not end the wait for the peer, which may itself have just started.
+func (r report) isUsable() bool { return r.replied && !r.replyVersion.IsZero() }
 
-// catchUp is what a node knows while it catches up, and what it last heard of
+// catchUp is the state of a node's catch-up, and what it last logged or read of
 // the source.
 type catchUp struct {
-	phase   phase
-	paused  bool // whether the phase began with a pause
-	began   time.Time
-	reports map[string]report
+	phase      phase
+	afterPause bool // whether the phase began with a pause
+	startedAt  time.Time
+	reports    map[string]report
 
-	confirm string    // peer whose gossip in this step is to be confirmed, "" for none
-	number  uint64    // of the question asked in this phase
-	askAt   time.Time // when it is asked again
-	attempt int
+	peerToConfirm string    // peer whose gossip in this step is to be confirmed by a query, "" for none
+	queryNumber   uint64    // number of the queries of this phase
+	queryAt       time.Time // when the next query is due
+	attempt       int
 
-	sourceRead   bool // since the phase began
-	sourceErr    error
-	older        version.Version // last logged
-	equivocation version.Version // last logged
+	sourceRead         bool // whether the source was read since the phase began
+	sourceErr          error
+	loggedOlder        version.Version // the last version logged as older
+	loggedEquivocation version.Version // the last version logged as equivocation
 }
 
 func (c *catchUp) begin(next phase, now time.Time, number uint64) {
 	c.phase = next
-	c.number = number | 1 // 0 is no number
-	c.began = now
-	c.askAt = now
+	c.queryNumber = number | 1 // 0 means no number
+	c.startedAt = now
+	c.queryAt = now
 	c.attempt = 0
 	c.reports = make(map[string]report)
 	c.sourceRead = false
-	c.paused = false
-	c.confirm = ""
+	c.afterPause = false
+	c.peerToConfirm = ""
 }
 
-// note keeps a peer's report. One from gossip only raises it, since messages may
-// be reordered. The answer to a question replaces it. Peers that are not live
-// by the view don't count.
-func (c *catchUp) note(view *view, from string, active version.Version, answer bool) {
+// recordReport records a peer's report. Gossip may be reordered, so it only
+// raises the recorded version; a reply replaces it. Reports of peers that are
+// not live in the view are ignored.
+func (c *catchUp) recordReport(view *view, from string, active version.Version, isReply bool) {
 	member := view.member(from)
 	if c.phase == phaseCaughtUp || member == nil || from == view.self {
 		return
 	}
-	known := c.reports[from]
-	known.start = member.Start
-	if answer {
-		known.active, known.answer, known.answered = active, active, true
+	recorded := c.reports[from]
+	recorded.processStart = member.Start
+	if isReply {
+		recorded.active, recorded.replyVersion, recorded.replied = active, active, true
 	} else {
-		known.active = version.Max(active, known.active)
+		recorded.active = version.Max(active, recorded.active)
 	}
-	c.reports[from] = known
+	c.reports[from] = recorded
 }
 
-// answers returns the number of peers that answered and whether one of them
-// holds a version.
-func (c *catchUp) answers() (answers int, held bool) {
-	for _, known := range c.reports {
-		if known.answered {
-			answers++
+// countReplies returns the number of peers that replied, and whether any of
+// them has a version.
+func (c *catchUp) countReplies() (replies int, anyUsable bool) {
+	for _, recorded := range c.reports {
+		if recorded.replied {
+			replies++
 		}
-		held = held || known.counts()
+		anyUsable = anyUsable || recorded.isUsable()
 	}
-	return answers, held
+	return replies, anyUsable
 }
 
-// forgetAbsent drops the reports of members that have left or restarted.
-func (c *catchUp) forgetAbsent(view *view) {
-	for name, known := range c.reports {
-		if member := view.member(name); member == nil || member.Start != known.start {
+// dropAbsent drops the reports of members that have left or restarted.
+func (c *catchUp) dropAbsent(view *view) {
+	for name, recorded := range c.reports {
+		if member := view.member(name); member == nil || member.Start != recorded.processStart {
 			delete(c.reports, name)
 		}
 	}
 }
 
-// goal returns the newest version in force by the peers' reports, and one of the
-// peers that reported it.
-func (c *catchUp) goal() (goal version.Version, peer string) {
-	for name, known := range c.reports {
-		order := known.active.Compare(goal)
+// newestReported returns the newest version in force that a peer reported, and
+// one of the peers that reported it.
+func (c *catchUp) newestReported() (newest version.Version, peer string) {
+	for name, recorded := range c.reports {
+		order := recorded.active.Compare(newest)
 		if order > 0 || (order == 0 && name < peer) {
-			goal, peer = known.active, name
+			newest, peer = recorded.active, name
 		}
 	}
-	return goal, peer
+	return newest, peer
 }
 
-// heardEveryZone reports whether in each zone some members with a version in
-// force answered, or all its members did.
-func (c *catchUp) heardEveryZone(view *view) bool {
+// hasReportsOfEveryZone reports whether in each zone minReportsPerZone members,
+// or all if there are fewer, replied with a version.
+func (c *catchUp) hasReportsOfEveryZone(view *view) bool {
 	if len(view.members) <= 1 {
 		return false
 	}
 	useful := make(map[string]int)
-	for name, known := range c.reports {
-		if known.counts() {
+	for name, recorded := range c.reports {
+		if recorded.isUsable() {
 			useful[view.member(name).Zone]++
 		}
 	}
 	own := view.member(view.self).Zone
-	for zone, members := range view.zones {
+	for zone, members := range view.memberCountByZone {
 		if zone == own {
 			members--
 		}
-		if useful[zone] < min(members, reportsPerZone) {
+		if useful[zone] < min(members, minReportsPerZone) {
 			return false
 		}
 	}
@@ -145,70 +147,72 @@
 }
 
 // timedOut reports whether the wait for reports has ended.
-func (m *Machine) timedOut() bool { return m.now.Sub(m.catchUp.began) >= m.config.CatchUpTimeout }
+func (m *Machine) timedOut() bool { return m.now.Sub(m.catchUp.startedAt) >= m.config.CatchUpTimeout }
 
-// noticeGap takes a gap between steps that is longer than the lease as a pause.
-func (m *Machine) noticeGap() {
-	gap := m.now.Sub(m.last)
-	m.last = m.now
+// detectPause treats a gap between steps that is longer than the lease as a
+// pause.
+func (m *Machine) detectPause() {
+	gap := m.now.Sub(m.lastStep)
+	m.lastStep = m.now
 	if m.config.Lease > 0 && gap > m.config.Lease {
 		m.pause()
 	}
 }
 
-// pause gives up duties and freshness until a peer has confirmed the state. A
-// node that was still starting starts again.
+// pause ends this node's duties and freshness until a peer has confirmed the
+// version in force. A node that was still starting restarts its catch-up.
 func (m *Machine) pause() {
 	m.log(LogPaused, nil)
-	m.flight = nil
-	clear(m.notices)
+	m.proposal = nil
+	clear(m.stagedReports)
 	m.repair = repair{}
 	next := phaseResumed
 	if m.catchUp.phase == phaseStarting {
 		next = phaseStarting
 	}
 	m.catchUp.begin(next, m.now, m.config.Random.Uint64())
-	m.catchUp.paused = true
+	m.catchUp.afterPause = true
 }
 
-// advanceCatchUp ends the phase once enough peers reported and the newest
-// version that they reported is held.
+// advanceCatchUp ends the phase once enough peers have reported and this node
+// has the newest version that they reported, or a newer accepted one.
 func (m *Machine) advanceCatchUp() {
 	if m.catchUp.phase == phaseCaughtUp {
 		return
 	}
-	m.askPeers()
-	if goal, _ := m.catchUp.goal(); !m.heardEnough() || goal.After(m.newestAccepted()) {
+	m.queryPeers()
+	if newest, _ := m.catchUp.newestReported(); !m.hasEnoughReports() || newest.After(m.newestAccepted()) {
 		return
 	}
-	reports, _ := m.catchUp.answers()
+	reports, _ := m.catchUp.countReplies()
 	if reports == 0 {
-		m.log(LogAlone, nil)
+		m.log(LogCaughtUpAlone, nil)
 	}
 	m.log(LogCaughtUp, nil, versionField(m.newestAccepted()), Field{"reports", strconv.Itoa(reports)})
 	m.catchUp.phase = phaseCaughtUp
 	m.catchUp.reports = nil
 }
 
-// heardEnough reports whether the reports so far allow the phase to end. When the
-// wait has ended and no peer holds anything, the source must have been read or
-// all peers have said so.
-func (m *Machine) heardEnough() bool {
-	answers, held := m.catchUp.answers()
-	if m.catchUp.phase == phaseResumed && answers > 0 {
+// hasEnoughReports reports whether the reports allow the phase to end. After
+// the timeout one reply with a version suffices. If no peer has a version, the
+// source must have been read or all peers must have replied.
+func (m *Machine) hasEnoughReports() bool {
+	replies, anyUsable := m.catchUp.countReplies()
+	if m.catchUp.phase == phaseResumed && replies > 0 {
 		return true
 	}
-	if m.catchUp.phase == phaseStarting && m.catchUp.heardEveryZone(m.view) {
+	if m.catchUp.phase == phaseStarting && m.catchUp.hasReportsOfEveryZone(m.view) {
 		return true
 	}
 	if !m.timedOut() {
 		return false
 	}
 	peers := len(m.view.members) - 1
-	return held || m.catchUp.sourceRead || (peers > 0 && answers >= peers)
+	return anyUsable || m.catchUp.sourceRead || (peers > 0 && replies >= peers)
 }
 
-// newestAccepted returns the newest version that is in force here or would be.
+// newestAccepted returns the newest version that is in force here, or will be
+// once the catch-up allows activation.
 func (m *Machine) newestAccepted() version.Version {
 	for _, staged := range m.staged {
 		if m.isAccepted(staged.version()) {
@@ -218,71 +222,73 @@
 	return m.active.Version()
 }
 
-// askPeers asks for versions in force: after a pause some random peers until one
-// has answered, and the peer that reported a version which is not held and is not
-// being pulled, since that peer may have lost it with its memory. The number tells answers from
-// messages that were sent before.
-func (m *Machine) askPeers() {
-	if m.now.Before(m.catchUp.askAt) {
+// queryPeers sends what is due, with backoff. If a peer reported a version that
+// this node lacks and is not pulling, it schedules a pull from that peer, whose
+// reply replaces the report: the peer may have lost the version in a restart.
+// Otherwise, after a pause, it queries random peers until one has replied. The
+// query number tells replies from messages that were sent before the phase.
+func (m *Machine) queryPeers() {
+	if m.now.Before(m.catchUp.queryAt) {
 		return
 	}
-	goal, peer := m.catchUp.goal()
-	answers, _ := m.catchUp.answers()
+	newest, peer := m.catchUp.newestReported()
+	replies, _ := m.catchUp.countReplies()
 	switch {
-	case goal.After(m.newestAccepted()) && m.repair.target.IsZero():
-		m.want(goal, peer, 0)
-	case answers == 0 && m.catchUp.paused:
-		m.askRandomPeers()
+	case newest.After(m.newestAccepted()) && m.repair.target.IsZero():
+		m.scheduleRepair(newest, peer, 0)
+	case replies == 0 && m.catchUp.afterPause:
+		m.queryRandomPeers()
 	default:
 		return
 	}
-	m.catchUp.askAt = m.now.Add(m.backoff(m.catchUp.attempt))
+	m.catchUp.queryAt = m.now.Add(m.backoff(m.catchUp.attempt))
 	m.catchUp.attempt++
 }
 
-func (m *Machine) askRandomPeers() {
-	for _, peer := range m.randomPeers(confirmersAsked) {
-		m.ask(peer, m.have())
+func (m *Machine) queryRandomPeers() {
+	for _, peer := range m.randomPeers(peersPerQuery) {
+		m.query(peer, m.have())
 	}
 }
 
-// onReport keeps a peer's report from gossip. It does not count, since it may have
-// been sent before the start or the pause, but a starting node asks the peer.
-func (m *Machine) onReport(from string, active version.Version) {
+// onGossipReport records a peer's report from gossip. It may have been sent
+// before the start or the pause, so it does not end the phase; a starting node
+// queries the peer instead.
+func (m *Machine) onGossipReport(from string, active version.Version) {
 	if m.catchUp.phase != phaseStarting || m.view.member(from) == nil {
 		return
 	}
-	m.catchUp.note(m.view, from, active, false)
-	known := m.catchUp.reports[from]
-	if !known.answered || (!known.counts() && !active.IsZero()) {
-		m.catchUp.confirm = from
+	m.catchUp.recordReport(m.view, from, active, false)
+	recorded := m.catchUp.reports[from]
+	if !recorded.replied || (!recorded.isUsable() && !active.IsZero()) {
+		m.catchUp.peerToConfirm = from
 	}
 }
 
-// confirmGossip asks the peer whose gossip came in this step, unless a pull that
-// it got asks it too. It holds the version reported, and so sends no more than
-// what came after that.
+// confirmGossip queries the peer whose gossip arrived in this step, unless a
+// pull already does. The query gives the reported version as its base, so that
+// the peer sends only later versions.
 func (m *Machine) confirmGossip() {
-	peer := m.catchUp.confirm
+	peer := m.catchUp.peerToConfirm
 	if peer == "" {
 		return
 	}
-	m.catchUp.confirm = ""
+	m.catchUp.peerToConfirm = ""
 	if m.catchUp.phase == phaseStarting {
-		m.ask(peer, m.catchUp.reports[peer].active)
+		m.query(peer, m.catchUp.reports[peer].active)
 	}
 }
 
-// ask asks a peer for the version in force there and for what came after the
-// given one.
-func (m *Machine) ask(peer string, held version.Version) {
-	m.send(peer, wire.Envelope{Pull: &wire.Pull{Have: held, Number: m.catchUp.number}})
+// query asks a peer for its version in force and for the versions after the
+// base.
+func (m *Machine) query(peer string, base version.Version) {
+	m.send(peer, wire.Envelope{Pull: &wire.Pull{Have: base, Number: m.catchUp.queryNumber}})
 }
 
-// onConfirmation keeps a peer's answer to the question asked in this phase.
-func (m *Machine) onConfirmation(from string, accepted *wire.Accepted) {
-	if accepted.Number == m.catchUp.number {
-		m.catchUp.note(m.view, from, accepted.Version, true)
+// onQueryReply records a peer's reply to a query of this phase.
+func (m *Machine) onQueryReply(from string, accepted *wire.Accepted) {
+	if accepted.Number == m.catchUp.queryNumber {
+		m.catchUp.recordReport(m.view, from, accepted.Version, true)
 	}
 }
 
--- a/internal/distribution/delta.go
+++ b/internal/distribution/delta.go
@@ -8,23 +8,23 @@
 	"sliphead/internal/wire"
 )
 
-// span names a delta.
-type span struct{ from, to version.Version }
+// deltaKey identifies a delta.
+type deltaKey struct{ from, to version.Version }
 
-// deltaCache shares one push among all receivers of a delta, so that it is made
-// and encoded once.
+// deltaCache shares one push among all receivers of a delta, so that it is
+// computed and encoded once. It also counts full sets for their rate limit.
 type deltaCache struct {
-	pushes  map[span]*wire.Push
-	wholeAt time.Time // start of the second in which whole sets are counted
-	wholes  int
+	pushes          map[deltaKey]*wire.Push
+	fullWindowStart time.Time // start of the second in which full sets are counted
+	fullCount       int       // full sets in that second, allowed or not
 }
 
-func newDeltaCache() deltaCache { return deltaCache{pushes: make(map[span]*wire.Push)} }
+func newDeltaCache() deltaCache { return deltaCache{pushes: make(map[deltaKey]*wire.Push)} }
 
-// repairPush returns the push that leads from one set to another, or a whole
-// set where that is smaller.
-func (c *deltaCache) repairPush(from, to *snapshot.Set) *wire.Push {
-	key := span{from.Version(), to.Version()}
+// push returns the push of the delta from one set to another, or of the full
+// set if that is smaller.
+func (c *deltaCache) push(from, to *snapshot.Set) *wire.Push {
+	key := deltaKey{from.Version(), to.Version()}
 	if push, known := c.pushes[key]; known {
 		return push
 	}
@@ -36,6 +36,8 @@
 	return push
 }
 
+// smallestDelta returns the delta between the sets, or the full target set if
+// that is smaller.
 func smallestDelta(from, to *snapshot.Set) snapshot.Delta {
 	delta := snapshot.Diff(from, to)
 	if len(delta.Put)+len(delta.Remove) > to.Len() {
@@ -44,11 +46,11 @@
 	return delta
 }
 
-// allowWhole counts whole sets and reports whether one more may be sent.
-func (c *deltaCache) allowWhole(now time.Time, limit int) bool {
-	if now.Sub(c.wholeAt) >= time.Second {
-		c.wholeAt, c.wholes = now, 0
+// allowFullSet counts a full set and reports whether it may be sent.
+func (c *deltaCache) allowFullSet(now time.Time, limit int) bool {
+	if now.Sub(c.fullWindowStart) >= time.Second {
+		c.fullWindowStart, c.fullCount = now, 0
 	}
-	c.wholes++
-	return c.wholes <= limit
+	c.fullCount++
+	return c.fullCount <= limit
 }
--- a/internal/distribution/event.go
+++ b/internal/distribution/event.go
@@ -9,31 +9,33 @@
 // Event is an input of the machine.
 type Event interface{ event() }
 
-// Tick lets time pass. It is due at least every tenth of a second.
+// Tick lets the machine act on the passage of time. It is due at least every
+// 100 ms.
 type Tick struct{}
 
-// Members gives the live members sorted by name, this node included. Leaving
-// members carry StatusLeaving and get no duties. The slice is kept and must not
-// be changed afterwards.
+// Members sets the live members sorted by name, this node included. Leaving
+// members have StatusLeaving and get no duties. The machine retains the slice,
+// which must not be changed afterwards.
 type Members struct{ Live []wire.Member }
 
-// SourceRead gives what this node, as a reader, has read from the source.
-// Secrets' values may be missing.
+// SourceRead delivers what this node, as a reader, has read from the source.
+// Values of secrets may be missing.
 type SourceRead struct{ Set *snapshot.Set }
 
-// SourceFailed tells that the source could not be read.
+// SourceFailed reports that the source could not be read.
 type SourceFailed struct{ Err error }
 
-// Received gives a message: Push, Pull, Staged, Accepted or Resource.
+// Received delivers a message from a peer: Push, Pull, Staged, Accepted or
+// Resource.
 type Received struct{ Message wire.Envelope }
 
-// PeerDigests gives what a peer's gossip says of the versions that it holds.
+// PeerDigests delivers the versions that a peer advertises in its gossip.
 type PeerDigests struct {
 	From    string
 	Digests wire.Digests
 }
 
-// Resumed tells that the process was paused for longer than its lease.
+// Resumed reports that the process was paused for longer than its lease.
 type Resumed struct{}
 
 func (Tick) event()         {}
@@ -47,49 +49,49 @@
 // Effect is an output of the machine, to be carried out by the caller in order.
 type Effect interface{ effect() }
 
-// Send asks for a message to be sent by stream. Messages to several receivers
+// Send requests that a message be sent by stream. Messages to several receivers
 // share one pointer within the envelope, so that they can be encoded once.
 type Send struct{ wire.Outgoing }
 
 // Activate puts a set in force on this node.
 type Activate struct{ Set *snapshot.Set }
 
-// Duty tells that this node became or ceased to be a reader of the source.
+// Duty reports that this node became or ceased to be a reader of the source.
 type Duty struct{ Reader bool }
 
-// DigestsChanged gives the versions that gossip shall announce.
+// DigestsChanged gives the versions to advertise in gossip.
 type DigestsChanged struct{ Active, Staged version.Version }
 
-// Fresh tells that this node has caught up after a start or a pause and has a
+// Fresh reports that this node has caught up after a start or a pause and has a
 // version in force: it may serve.
 type Fresh struct{}
 
-// Stale tells that this node may not serve until the next Fresh.
+// Stale reports that this node must not serve until the next Fresh.
 type Stale struct{}
 
-// Log asks for one event to be logged.
+// Log requests that an event be logged.
 type Log struct {
 	Name   string
-	Fields []Field // in the order in which they are to be written
-	Err    error   // nil when nothing failed
+	Fields []Field // in the order in which they are written
+	Err    error   // nil if the event is not an error
 }
 
 // Field is one key and value of a logged event.
 type Field struct{ Key, Value string }
 
-// The names of logged events.
+// Names of logged events.
 const (
-	LogRefused      = "version.refused"      // the version failed the validator
-	LogEquivocation = "version.equivocation" // the source gave two contents for one revision
-	LogOlder        = "version.older"        // the source gave a version before the one in force
-	LogStaged       = "version.staged"       // the version is held whole
-	LogAccepted     = "version.accepted"     // as the root: enough members hold the version
-	LogActivated    = "version.activated"    // the version is in force here
-	LogWaiting      = "version.waiting"      // the version lacks bodies
-	LogBadDelta     = "peer.delta-refused"   // a peer sent a delta that does not add up
-	LogAlone        = "catchup.alone"        // started from the source without a report from any peer
-	LogCaughtUp     = "catchup.done"         // caught up after a start or a pause
-	LogPaused       = "catchup.paused"       // the process was paused for longer than its lease
+	LogRefused       = "version.refused"      // the version failed the validator
+	LogEquivocation  = "version.equivocation" // the source gave two contents for one revision
+	LogOlder         = "version.older"        // the source gave a version before the one in force
+	LogStaged        = "version.staged"       // the version is complete and valid on this node
+	LogAccepted      = "version.accepted"     // as the root: enough members have staged the version
+	LogActivated     = "version.activated"    // the version is in force on this node
+	LogWaiting       = "version.waiting"      // the version lacks bodies
+	LogDeltaRefused  = "peer.delta-refused"   // a peer sent a delta whose result does not match its version
+	LogCaughtUpAlone = "catchup.alone"        // caught up from the source without a report from any peer
+	LogCaughtUp      = "catchup.done"         // caught up after a start or a pause
+	LogPaused        = "catchup.paused"       // the process was paused for longer than its lease
 )
 
 func (Send) effect()           {}
--- a/internal/distribution/fleet_fuzz_test.go
+++ b/internal/distribution/fleet_fuzz_test.go
@@ -26,20 +26,22 @@
 	os.Exit(m.Run())
 }
 
-// operators change the declarations and the source under a fleet.
+// operators adds actions on the declarations, the source and the nodes to a
+// fleet.
 type operators struct {
 	*fleet
-	revision uint64
-	shown    []*snapshot.Set // all that the source ever showed
+	revision  uint64
+	published []*snapshot.Set // every set that the source has given
 }
 
 func (o *operators) node(t *rapid.T) *simNode {
 	return o.nodes[rapid.IntRange(0, len(o.nodes)-1).Draw(t, "node")]
 }
 
-// show publishes to a drawn part of the source's replicas.
-func (o *operators) show(t *rapid.T, set *snapshot.Set) {
-	o.shown = append(o.shown, set)
+// publishToSome publishes to all nodes or to a random part of them, as replicas
+// of the source may differ.
+func (o *operators) publishToSome(t *rapid.T, set *snapshot.Set) {
+	o.published = append(o.published, set)
 	all := rapid.Bool().Draw(t, "everywhere")
 	for _, node := range o.nodes {
 		if all || rapid.Bool().Draw(t, "shown") {
@@ -50,27 +52,27 @@
 
 func (o *operators) change(t *rapid.T) {
 	o.revision++
-	o.show(t, edition{revision: o.revision, bad: rapid.IntRange(0, 4).Draw(t, "bad") == 0}.set(t))
+	o.publishToSome(t, edition{revision: o.revision, invalid: rapid.IntRange(0, 4).Draw(t, "bad") == 0}.set(t))
 }
 
 func (o *operators) changeWithSecret(t *rapid.T) {
 	o.revision++
 	e := edition{revision: o.revision, secret: true}
 	without := e.set(t)
-	e.held = true
-	o.show(t, without)
-	o.show(t, e.set(t))
+	e.hasSecretValue = true
+	o.publishToSome(t, without)
+	o.publishToSome(t, e.set(t))
 }
 
 func (o *operators) equivocate(t *rapid.T) {
 	o.revision = max(o.revision, 1)
 	e := edition{revision: o.revision, variant: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "variant")}
-	o.show(t, e.set(t))
+	o.publishToSome(t, e.set(t))
 }
 
 func (o *operators) staleSource(t *rapid.T) {
-	if len(o.shown) > 0 {
-		o.node(t).source = rapid.SampledFrom(o.shown).Draw(t, "old")
+	if len(o.published) > 0 {
+		o.node(t).source = rapid.SampledFrom(o.published).Draw(t, "old")
 	}
 }
 
@@ -130,8 +132,8 @@
 }
 
 func (o *operators) degrade(t *rapid.T) {
-	o.lossy = float64(rapid.IntRange(0, 4).Draw(t, "loss")) / 10
-	o.twice = float64(rapid.IntRange(0, 3).Draw(t, "twice")) / 10
+	o.lossRate = float64(rapid.IntRange(0, 4).Draw(t, "loss")) / 10
+	o.duplicateRate = float64(rapid.IntRange(0, 3).Draw(t, "twice")) / 10
 	longest := rapid.SampledFrom([]int{2, 50, 400}).Draw(t, "delay")
 	o.delay = func(_, _ *simNode) time.Duration {
 		return time.Duration(1+o.random.Intn(longest*1000)) * time.Microsecond
@@ -142,9 +144,10 @@
 	o.run(time.Duration(rapid.SampledFrom([]int{5, 30, 200, 1000, 4000}).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-// quiet ends all faults but keeps the dead dead and the source away.
-func (o *operators) quiet() {
-	o.lossy, o.twice = 0, 0
+// endFaults ends all faults, except that killed nodes stay dead and the source
+// stays unreachable.
+func (o *operators) endFaults() {
+	o.lossRate, o.duplicateRate = 0, 0
 	o.delay = func(_, _ *simNode) time.Duration { return time.Millisecond }
 	for _, node := range o.nodes {
 		node.side, node.source = 0, nil
@@ -153,12 +156,12 @@
 		}
 	}
 	if live := o.live(); len(live) > 0 {
-		live[0].member.Status = wire.StatusAlive // someone has to bring versions to acceptance
+		live[0].member.Status = wire.StatusAlive // a leaving node cannot bring versions to acceptance
 	}
 	o.updateMembers(detection)
 }
 
-// newestHeldAccepted returns the newest accepted version that a live node holds.
+// newestHeldAccepted returns the newest accepted version that a live node has.
 func (o *operators) newestHeldAccepted() version.Version {
 	var newest version.Version
 	for _, node := range o.nodes {
@@ -184,23 +187,24 @@
 func (o *operators) checkOneVersion(t *rapid.T, floor version.Version) {
 	live := o.live()
 	if len(live) == 1 {
-		return // alone and without a source it may not be fresh
+		return // without peers and a source it need not be fresh
 	}
 	for _, node := range live {
 		must.Eq(t, live[0].active, node.active, must.Sprintf("%s and %s differ\n%s", live[0].member.Name, node.member.Name, o.describe()))
 		must.Eq(t, !node.active.IsZero(), node.fresh, must.Sprintf("%s at %s is %s\n%s", node.member.Name, node.active, node.machine.catchUp.phase, o.describe()))
-		must.False(t, floor.After(node.active), must.Sprintf("accepted %s was lost, %s has %s\n%s", floor, node.member.Name, node.active, o.describe()))
+		must.False(t, floor.After(node.active), must.Sprintf("accepted version %s was lost, %s has %s\n%s", floor, node.member.Name, node.active, o.describe()))
 	}
 }
 
-// TestFleetUnderFaults drives a fleet through drawn faults. The oracle checks
-// each step; at the end all live nodes must agree on no less than the newest
-// accepted version that one of them held, and then follow the source again.
+// TestFleetUnderFaults drives a fleet through random faults and checks each
+// effect. At the end all live nodes must agree on a version no older than the
+// newest accepted one that any of them had, and must then follow the source
+// again.
 func TestFleetUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runUnderFaults(t, func(*fleet) {}) })
 }
 
-// runUnderFaults makes one run. watch is called before the nodes start.
+// runUnderFaults makes one run. It calls watch before the nodes start.
 func runUnderFaults(t *rapid.T, watch func(*fleet)) {
 	nodes := rapid.IntRange(1, 9).Draw(t, "nodes")
 	f := newFleet(t, rapid.Int64Range(0, 1<<30).Draw(t, "seed"), nodes, rapid.IntRange(1, 3).Draw(t, "zones"))
@@ -215,14 +219,14 @@
 		"partition": o.partition, "healPartition": o.healPartition, "degrade": o.degrade,
 		"pass": o.pass, "passAgain": o.pass, "passOnceMore": o.pass,
 	})
-	o.quiet()
+	o.endFaults()
 	floor := o.newestHeldAccepted()
 	f.run(30 * time.Second)
 	o.checkOneVersion(t, floor)
 	o.revision++
 	final := edition{revision: o.revision}.set(t)
 	f.publish(final)
-	must.True(t, f.until(f.now.Add(30*time.Second), func() bool { return f.agree(final.Version()) }),
+	must.True(t, f.runUntil(f.now.Add(30*time.Second), func() bool { return f.agree(final.Version()) }),
 		must.Func(func() string { return o.describe() }))
 }
 
--- a/internal/distribution/fleet_test.go
+++ b/internal/distribution/fleet_test.go
@@ -16,23 +16,23 @@
 	"sliphead/internal/wire"
 )
 
-// The periods of the simulated fleet.
+// Periods of the simulated fleet.
 const (
 	tickPeriod   = 50 * time.Millisecond
 	gossipPeriod = 200 * time.Millisecond
 	readPeriod   = 100 * time.Millisecond
-	detection    = time.Second // lag of membership behind the truth
+	detection    = time.Second // delay until members see that a node has failed
 )
 
 const secretName = "press"
 
-// edition describes one version of the test declarations.
+// edition describes one version of the declarations of a test.
 type edition struct {
 	epoch, revision uint64
-	variant         string // another variant is another content
-	secret          bool   // whether a secret is named
-	held            bool   // whether its value is given
-	bad             bool   // whether the validator refuses it
+	variant         string // editions with different variants have different contents
+	secret          bool   // whether a secret is declared
+	hasSecretValue  bool   // whether its value is present
+	invalid         bool   // whether the validator refuses it
 	workers         int
 }
 
@@ -45,7 +45,7 @@
 		}
 		document.Workers = append(document.Workers, declaration.Worker{Name: fmt.Sprintf("worker-%03d", i), Service: "storefront", Zone: "zone-0", Slots: 6, Connections: 130, Labels: labels})
 	}
-	if e.bad {
+	if e.invalid {
 		document.Services = append(document.Services, declaration.Service{Name: "bad"})
 	}
 	value := fmt.Sprint("value-", e.revision)
@@ -54,7 +54,7 @@
 		digest := snapshot.SecretResource(secretName, value).Digest
 		document.Secrets = append(document.Secrets, declaration.Secret{Name: secretName, Digest: digest})
 	}
-	if e.held {
+	if e.hasSecretValue {
 		values[secretName] = value
 	}
 	set, err := snapshot.Build(document, e.revision, values)
@@ -69,19 +69,19 @@
 	return nil
 }
 
-// simNode is one node of the fleet. Its machine is replaced when it restarts.
+// simNode is one node of the fleet. A restart replaces its machine.
 type simNode struct {
 	member  wire.Member
 	machine *Machine
 	alive   bool
 	frozen  bool
-	inbox   []Event // kept while frozen
+	inbox   []Event // events received while frozen
 	digests wire.Digests
-	active  version.Version // by the oracle
+	active  version.Version // version in force as tracked by the checks
 	reader  bool
 	fresh   bool
-	side    int           // side of the partition
-	source  *snapshot.Set // what the source shows to this node, nil for an outage
+	side    int           // side of the network partition
+	source  *snapshot.Set // set that the source gives to this node, nil during an outage
 	view    []wire.Member
 	sent    int
 	cpu     time.Duration
@@ -111,31 +111,31 @@
 }
 
 // fleet simulates nodes, network, membership and source in virtual time, and
-// checks each effect against the oracle.
+// checks each effect.
 type fleet struct {
-	t         must.T
-	now       time.Time
-	random    *rand.Rand
-	queue     deliveries
-	order     int
-	nodes     []*simNode
-	byName    map[string]*simNode
-	history   int // of each node that starts
-	lossy     float64
-	twice     float64
-	delay     func(from, to *simNode) time.Duration
-	held      map[version.Version]map[string]bool
-	accepted  map[version.Version]bool
-	logs      map[string]int
-	onDeliver func(from, to *simNode, message wire.Envelope)
-	onActive  func(node *simNode, v version.Version)
-	onStep    func(node *simNode, event Event, effects []Effect) // a nil event is a start
+	t                must.T
+	now              time.Time
+	random           *rand.Rand
+	queue            deliveries
+	order            int
+	nodes            []*simNode
+	nodeByName       map[string]*simNode
+	history          int // Config.History of nodes that start
+	lossRate         float64
+	duplicateRate    float64
+	delay            func(from, to *simNode) time.Duration
+	holdersByVersion map[version.Version]map[string]bool
+	accepted         map[version.Version]bool
+	logs             map[string]int
+	onDeliver        func(from, to *simNode, message wire.Envelope)
+	onActive         func(node *simNode, v version.Version)
+	onStep           func(node *simNode, event Event, effects []Effect) // event is nil on a start
 }
 
 func newFleet(t must.T, seed int64, nodes, zones int) *fleet {
 	f := &fleet{
 		t: t, now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewSource(seed)),
-		byName: map[string]*simNode{}, held: map[version.Version]map[string]bool{},
+		nodeByName: map[string]*simNode{}, holdersByVersion: map[version.Version]map[string]bool{},
 		accepted: map[version.Version]bool{}, logs: map[string]int{}, history: DefaultConfig().History,
 	}
 	f.delay = func(from, to *simNode) time.Duration {
@@ -144,7 +144,7 @@
 	for i := range nodes {
 		node := &simNode{member: wire.Member{Name: fmt.Sprintf("node-%03d", i), Zone: fmt.Sprintf("zone-%d", i%zones), Status: wire.StatusAlive}}
 		f.nodes = append(f.nodes, node)
-		f.byName[node.member.Name] = node
+		f.nodeByName[node.member.Name] = node
 	}
 	return f
 }
@@ -180,7 +180,8 @@
 	heap.Push(&f.queue, delivery{when, f.order, run})
 }
 
-// every runs a node's periodic work, whether or not it lives, with a random phase.
+// every runs a node's periodic work with a random phase, while the node is
+// alive and not frozen.
 func (f *fleet) every(node *simNode, period time.Duration, run func()) {
 	var again func()
 	again = func() {
@@ -192,10 +193,11 @@
 	f.at(f.now.Add(time.Duration(f.random.Int63n(int64(period)))), again)
 }
 
-func (f *fleet) run(span time.Duration) { f.until(f.now.Add(span), func() bool { return false }) }
+func (f *fleet) run(span time.Duration) { f.runUntil(f.now.Add(span), func() bool { return false }) }
 
-// until runs the fleet until the condition holds, and reports whether it did.
-func (f *fleet) until(end time.Time, done func() bool) bool {
+// runUntil runs the fleet until the condition is true or the end is reached. It
+// returns the condition's last value.
+func (f *fleet) runUntil(end time.Time, done func() bool) bool {
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
 		if done() {
 			return true
@@ -208,7 +210,8 @@
 	return done()
 }
 
-// updateMembers gives each node the live members that it can reach, after a lag.
+// updateMembers gives each node the live members that it can reach, after a
+// lag.
 func (f *fleet) updateMembers(lag time.Duration) {
 	for _, node := range f.nodes {
 		start := node.member.Start
@@ -253,7 +256,7 @@
 func (f *fleet) carryOut(node *simNode, effect Effect) {
 	switch effect := effect.(type) {
 	case Send:
-		f.send(node, f.byName[effect.To], func(to *simNode) {
+		f.send(node, f.nodeByName[effect.To], func(to *simNode) {
 			if f.onDeliver != nil {
 				f.onDeliver(node, to, effect.Message)
 			}
@@ -265,7 +268,7 @@
 		node.reader = effect.Reader
 	case DigestsChanged:
 		node.digests = wire.Digests{Active: effect.Active, Staged: effect.Staged}
-		f.hold(node, effect.Staged)
+		f.recordHolder(node, effect.Staged)
 	case Fresh:
 		node.fresh = true
 	case Stale:
@@ -273,9 +276,9 @@
 	case Log:
 		f.logs[effect.Name]++
 		if effect.Name == LogStaged {
-			f.hold(node, node.machine.newestWhole())
+			f.recordHolder(node, node.machine.newestComplete())
 			for _, staged := range node.machine.staged {
-				f.hold(node, staged.version())
+				f.recordHolder(node, staged.version())
 			}
 		}
 		if effect.Name == LogAccepted {
@@ -284,47 +287,49 @@
 	}
 }
 
-func (f *fleet) hold(node *simNode, v version.Version) {
-	if f.held[v] == nil {
-		f.held[v] = map[string]bool{}
+func (f *fleet) recordHolder(node *simNode, v version.Version) {
+	if f.holdersByVersion[v] == nil {
+		f.holdersByVersion[v] = map[string]bool{}
 	}
-	f.held[v][node.member.Name] = true
+	f.holdersByVersion[v][node.member.Name] = true
 }
 
-// checkAcceptance is the oracle's rule: enough distinct nodes hold the version.
+// checkAcceptance checks that enough distinct nodes have staged the version.
 func (f *fleet) checkAcceptance(root *simNode) {
 	v := root.machine.active.Version()
 	staying := slices.DeleteFunc(slices.Clone(root.view), func(m wire.Member) bool { return m.Status == wire.StatusLeaving })
 	need := min(DefaultConfig().Holders, max(len(staying), 1))
-	must.GreaterEq(f.t, need, len(f.held[v]), must.Sprintf("acceptance guard: %s accepted %s, held by %v", root.member.Name, v, f.held[v]))
+	must.GreaterEq(f.t, need, len(f.holdersByVersion[v]), must.Sprintf("acceptance guard: %s accepted %s, staged by %v", root.member.Name, v, f.holdersByVersion[v]))
 	f.accepted[v] = true
 }
 
-// checkActivation is the oracle's rule for a version put in force.
+// checkActivation checks that a version may be put in force: it is newer,
+// complete, valid and accepted.
 func (f *fleet) checkActivation(node *simNode, set *snapshot.Set) {
 	v := set.Version()
-	must.True(f.t, v.After(node.active), must.Sprintf("monotone guard: %s went from %s to %s", node.member.Name, node.active, v))
+	must.True(f.t, v.After(node.active), must.Sprintf("monotone guard: %s changed from %s to %s", node.member.Name, node.active, v))
 	must.True(f.t, set.Complete(), must.Sprintf("completeness guard: %s at %s lacks %v", node.member.Name, v, set.Missing()))
 	must.NoError(f.t, validate(set))
 	copied, err := snapshot.Empty().Apply(snapshot.Diff(snapshot.Empty(), set))
 	must.NoError(f.t, err)
 	must.Eq(f.t, v, copied.Version())
-	must.True(f.t, f.accepted[v], must.Sprintf("acceptance guard: %s put %s in force, held by %v", node.member.Name, v, f.held[v]))
+	must.True(f.t, f.accepted[v], must.Sprintf("acceptance guard: %s activated %s, staged by %v", node.member.Name, v, f.holdersByVersion[v]))
 	node.active = v
 	if f.onActive != nil {
 		f.onActive(node, v)
 	}
 }
 
-// send delivers after the network's delay, which may reorder, lose or repeat.
+// send delivers after the network's delay, which may reorder messages. A
+// message may be lost or duplicated.
 func (f *fleet) send(from, to *simNode, deliver func(*simNode)) {
 	from.sent++
 	copies := 1
-	if f.random.Float64() < f.twice {
+	if f.random.Float64() < f.duplicateRate {
 		copies = 2
 	}
 	for range copies {
-		if to == nil || f.random.Float64() < f.lossy {
+		if to == nil || f.random.Float64() < f.lossRate {
 			continue
 		}
 		start := to.member.Start
@@ -342,7 +347,7 @@
 	}
 	digests := node.digests
 	for range 2 {
-		peer := f.byName[node.view[f.random.Intn(len(node.view))].Name]
+		peer := f.nodeByName[node.view[f.random.Intn(len(node.view))].Name]
 		if peer != node {
 			f.send(node, peer, func(to *simNode) { f.step(to, PeerDigests{From: node.member.Name, Digests: digests}) })
 		}
@@ -361,7 +366,8 @@
 	}
 }
 
-// resume lets a paused node run on. It finds all that was sent meanwhile.
+// resume unfreezes a node and delivers the events that it received while
+// frozen.
 func (f *fleet) resume(node *simNode) {
 	node.frozen = false
 	inbox := node.inbox
--- a/internal/distribution/machine.go
+++ b/internal/distribution/machine.go
@@ -8,54 +8,54 @@
 	"sliphead/internal/wire"
 )
 
-// Machine is the distribution state of one node. It is not safe for use by
-// several goroutines.
+// Machine is the distribution state of one node. It is not safe for concurrent
+// use.
 type Machine struct {
-	config Config
-	view   *view
-	now    time.Time // of the running step
-	last   time.Time // of the step before
-	out    []Effect
-
-	holdings
-	flight  *flight // as a root: the version being brought to acceptance
-	notices map[string]notice
-	repair  repair
-	asking  asking
-	catchUp catchUp
-	deltas  deltaCache
-	reader  bool // duty last announced
-	fresh   bool // last announced
-	digests DigestsChanged
+	config   Config
+	view     *view
+	now      time.Time // time of the current step
+	lastStep time.Time // time of the previous step
+	effects  []Effect  // of the current step
+
+	setStore
+	proposal      *proposal               // as a root: the version being brought to acceptance, nil if none
+	stagedReports map[string]stagedReport // by member
+	repair        repair
+	bodyRequest   bodyRequest
+	catchUp       catchUp
+	deltas        deltaCache
+	reader        bool           // last emitted by Duty
+	fresh         bool           // last emitted by Fresh or Stale
+	digests       DigestsChanged // last emitted
 }
 
-// New returns the machine of a node that holds nothing. It knows no peers until
+// New returns the machine of a node that has no version. It has no peers until
 // the first Members.
 func New(config Config, now time.Time) *Machine {
 	m := &Machine{
-		config:   config,
-		view:     newView(config, nil),
-		now:      now,
-		last:     now,
-		holdings: holdings{active: snapshot.Empty(), former: config.History},
-		notices:  make(map[string]notice),
-		deltas:   newDeltaCache(),
+		config:        config,
+		view:          newView(config, nil),
+		now:           now,
+		lastStep:      now,
+		setStore:      setStore{active: snapshot.Empty(), maxHistory: config.History},
+		stagedReports: make(map[string]stagedReport),
+		deltas:        newDeltaCache(),
 	}
 	m.catchUp.begin(phaseStarting, now, config.Random.Uint64())
 	return m
 }
 
-// Step takes one event and returns the effects, to be carried out in order.
+// Step processes one event and returns its effects, to be carried out in order.
 func (m *Machine) Step(event Event, now time.Time) []Effect {
 	m.now = now
-	m.out = nil
-	m.noticeGap()
-	m.take(event)
-	m.settle()
-	return m.out
+	m.effects = nil
+	m.detectPause()
+	m.handle(event)
+	m.runDue()
+	return m.effects
 }
 
-func (m *Machine) take(event Event) {
+func (m *Machine) handle(event Event) {
 	switch event := event.(type) {
 	case Tick:
 	case Members:
@@ -88,24 +88,24 @@
 	}
 }
 
-// settle does what became due through the event or through time.
-func (m *Machine) settle() {
+// runDue does what has become due through the event or the passage of time.
+func (m *Machine) runDue() {
 	m.advanceCatchUp()
 	m.activateAccepted()
-	m.leadIfDue()
-	m.askForMissing()
+	m.proposeIfDue()
+	m.requestMissing()
 	m.pullIfDue()
 	m.confirmGossip()
-	m.announce()
+	m.emitChanges()
 }
 
-// announce reports duties and digests that changed in this step.
-func (m *Machine) announce() {
+// emitChanges emits the duty, digests and freshness that changed in this step.
+func (m *Machine) emitChanges() {
 	if reader := m.isReader(); reader != m.reader {
 		m.reader = reader
 		m.emit(Duty{Reader: reader})
 	}
-	digests := DigestsChanged{Active: m.active.Version(), Staged: m.newestWhole()}
+	digests := DigestsChanged{Active: m.active.Version(), Staged: m.newestComplete()}
 	if digests != m.digests {
 		m.digests = digests
 		m.emit(digests)
@@ -127,10 +127,10 @@
 	return m.mayHaveDuty() && m.view.readerRank(m.config.Self.Name) >= 0
 }
 
-// mayHaveDuty reports whether this node's view may be acted on: once it has
-// caught up after a start or a pause, or nobody has answered for the catch-up
-// timeout. Otherwise a fleet that starts at once, each node knowing few others,
-// would read the source all together.
+// mayHaveDuty reports whether this node may act on its view: once it has caught
+// up after a start or a pause, or the catch-up has timed out. Without this, all
+// nodes of a fleet that starts at once would read the source, as each has few
+// members in its view.
 func (m *Machine) mayHaveDuty() bool {
 	return m.catchUp.phase == phaseCaughtUp || m.timedOut()
 }
@@ -140,23 +140,23 @@
 		return
 	}
 	m.view = newView(m.config, live)
-	m.forgetAbsent()
+	m.dropAbsent()
 }
 
-// forgetAbsent drops the notices of members that have left or restarted.
-func (m *Machine) forgetAbsent() {
-	for name, known := range m.notices {
-		if member := m.view.member(name); member == nil || member.Start != known.start {
-			delete(m.notices, name)
+// dropAbsent drops the reports of members that have left or restarted.
+func (m *Machine) dropAbsent() {
+	for name, recorded := range m.stagedReports {
+		if member := m.view.member(name); member == nil || member.Start != recorded.processStart {
+			delete(m.stagedReports, name)
 		}
 	}
-	m.catchUp.forgetAbsent(m.view)
-	if m.flight != nil {
-		m.flight.forgetAbsent(m.view)
+	m.catchUp.dropAbsent(m.view)
+	if m.proposal != nil {
+		m.proposal.dropAbsent(m.view)
 	}
 }
 
-func (m *Machine) emit(effect Effect) { m.out = append(m.out, effect) }
+func (m *Machine) emit(effect Effect) { m.effects = append(m.effects, effect) }
 
 func (m *Machine) send(to string, message wire.Envelope) {
 	if to == m.config.Self.Name || to == "" {
@@ -172,13 +172,13 @@
 
 func versionField(v version.Version) Field { return Field{Key: "version", Value: v.String()} }
 
-// jittered returns between half and all of a wait.
+// jittered returns a random duration between half and all of the given one.
 func (m *Machine) jittered(wait time.Duration) time.Duration {
 	half := wait / 2
 	return half + time.Duration(m.config.Random.Int63n(int64(half)+1))
 }
 
-// backoff returns the jittered wait before the given attempt, counted from 0.
+// backoff returns the jittered delay before the given retry, counted from 0.
 func (m *Machine) backoff(attempt int) time.Duration {
 	wait := m.config.RetryInterval
 	for range attempt {
--- a/internal/distribution/push.go
+++ b/internal/distribution/push.go
@@ -7,15 +7,15 @@
 	"sliphead/internal/wire"
 )
 
-// onPush takes a version sent down a tree or as a repair.
+// onPush handles a version that a peer sent down a tree or as a repair.
 func (m *Machine) onPush(from string, push *wire.Push) {
 	v := push.Delta.To
 	if push.Root != "" && !m.active.Version().After(v) {
-		m.keepPush(from, push)
+		m.storePush(from, push)
 	}
-	if m.active.Version() == v || m.stagedOf(v) != nil {
-		m.tellRoot(from, push)
-		m.passOn(m.pushOf(v))
+	if m.active.Version() == v || m.findStaged(v) != nil {
+		m.notifyRoot(from, push)
+		m.forward(m.findPush(v))
 		return
 	}
 	if !v.After(m.active.Version()) || m.isRefused(v) {
@@ -23,47 +23,48 @@
 	}
 	base := m.lookup(push.Delta.From)
 	if base == nil {
-		m.want(v, from, 0)
+		m.scheduleRepair(v, from, 0)
 		return
 	}
 	set, err := base.Apply(push.Delta)
 	if err != nil {
-		m.log(LogBadDelta, err, versionField(v), Field{"peer", from})
+		m.log(LogDeltaRefused, err, versionField(v), Field{"peer", from})
 		return
 	}
-	m.offer(set, push.Root)
+	m.addSet(set, push.Root)
 }
 
-// keepPush remembers a push, to be passed on once its version is whole.
-func (m *Machine) keepPush(from string, push *wire.Push) {
-	if held := m.pushOf(push.Delta.To); held != nil {
-		held.from = from
+// storePush stores a push, to be forwarded once its version is staged.
+func (m *Machine) storePush(from string, push *wire.Push) {
+	if pending := m.findPush(push.Delta.To); pending != nil {
+		pending.from = from
 		return
 	}
-	m.pushes = insertNewest(m.pushes, &heldPush{push: push, from: from}, maxPushes,
-		func(held *heldPush) version.Version { return held.push.Delta.To })
+	m.pendingPushes = insertNewest(m.pendingPushes, &pendingPush{push: push, from: from}, maxPendingPushes,
+		func(pending *pendingPush) version.Version { return pending.push.Delta.To })
 }
 
-// tellRoot tells the root that its version is held here. Only those to whom the
-// root itself sent do so, which bounds the answers.
-func (m *Machine) tellRoot(from string, push *wire.Push) {
+// notifyRoot reports to the root that its version is staged here. Only a node
+// that got the push from the root itself does so, which bounds the replies to
+// the root.
+func (m *Machine) notifyRoot(from string, push *wire.Push) {
 	if from == push.Root {
 		m.send(from, wire.Envelope{Staged: &wire.Staged{Version: push.Delta.To, Zone: m.config.Self.Zone}})
 	}
 }
 
-// passOn sends a push to this node's children, once.
-func (m *Machine) passOn(held *heldPush) {
-	if held == nil || held.forwarded || held.push.Root == m.config.Self.Name {
+// forward sends a pending push to this node's children, once.
+func (m *Machine) forward(pending *pendingPush) {
+	if pending == nil || pending.forwarded || pending.push.Root == m.config.Self.Name {
 		return
 	}
-	held.forwarded = true
-	m.sendDown(held.push.Root, held.from, wire.Envelope{Push: held.push})
+	pending.forwarded = true
+	m.sendToChildren(pending.push.Root, pending.from, wire.Envelope{Push: pending.push})
 }
 
-// sendDown sends to this node's children in the root's tree, except to the peer
-// that the message came from.
-func (m *Machine) sendDown(root, except string, message wire.Envelope) {
+// sendToChildren sends a message to this node's children in the root's tree,
+// except to the peer that it came from.
+func (m *Machine) sendToChildren(root, except string, message wire.Envelope) {
 	for _, child := range m.view.childrenFor(root) {
 		if child != except {
 			m.send(child, message)
@@ -71,70 +72,72 @@
 	}
 }
 
-// onAccepted takes the news that a version is accepted, or the answer to a
-// numbered pull.
+// onAccepted handles the announcement that a version is accepted, or the reply
+// to a numbered pull.
 func (m *Machine) onAccepted(from string, accepted *wire.Accepted) {
-	m.onConfirmation(from, accepted)
+	m.onQueryReply(from, accepted)
 	v := accepted.Version
 	if v.IsZero() {
 		return
 	}
-	m.noteAccepted(v)
-	if accepted.Root != "" && v.After(m.passed) {
-		m.passed = v
-		m.sendDown(accepted.Root, from, wire.Envelope{Accepted: accepted})
+	m.recordAccepted(v)
+	if accepted.Root != "" && v.After(m.newestForwarded) {
+		m.newestForwarded = v
+		m.sendToChildren(accepted.Root, from, wire.Envelope{Accepted: accepted})
 	}
-	m.want(v, from, 0)
+	m.scheduleRepair(v, from, 0)
 }
 
-// onDigests takes what a peer's gossip says that it holds.
+// onDigests handles the versions that a peer advertises in its gossip.
 func (m *Machine) onDigests(from string, digests wire.Digests) {
-	m.onReport(from, digests.Active)
-	m.noteAccepted(digests.Active)
+	m.onGossipReport(from, digests.Active)
+	m.recordAccepted(digests.Active)
 	delay := m.config.RepairDelay
 	if m.catchUp.phase != phaseCaughtUp {
 		delay = 0
 	}
-	m.want(digests.Active, from, delay)
-	m.want(digests.Staged, from, delay)
+	m.scheduleRepair(digests.Active, from, delay)
+	m.scheduleRepair(digests.Staged, from, delay)
 }
 
-// onStaged takes the news that a member holds a version whole.
+// onStaged handles a member's report that it has staged a version. If that
+// version is not newer than the one in force here, it replies with the latter.
 func (m *Machine) onStaged(from string, staged *wire.Staged) {
 	v := staged.Version
 	if m.active.Version().Compare(v) >= 0 {
 		m.send(from, wire.Envelope{Accepted: &wire.Accepted{Version: m.active.Version()}})
 		return
 	}
-	m.keepNotice(from, v)
-	if m.flight != nil && m.flight.version == v {
-		m.flight.hold(m.view, from)
+	m.recordStaged(from, v)
+	if m.proposal != nil && m.proposal.version == v {
+		m.proposal.addHolder(m.view, from)
 	}
-	m.want(v, from, 0)
+	m.scheduleRepair(v, from, 0)
 }
 
-// notice is a member's report that it holds a version.
-type notice struct {
-	version version.Version
-	start   int64 // of the member's process
+// stagedReport is a member's report that it has staged a version.
+type stagedReport struct {
+	version      version.Version
+	processStart int64 // start time of the member's process
 }
 
-// keepNotice remembers the newest version that a member reported holding.
-func (m *Machine) keepNotice(from string, v version.Version) {
-	if _, known := m.notices[from]; !known && len(m.notices) >= maxNotices {
+// recordStaged records the newest version that a member reported as staged.
+func (m *Machine) recordStaged(from string, v version.Version) {
+	if _, known := m.stagedReports[from]; !known && len(m.stagedReports) >= maxStagedReports {
 		return
 	}
 	member := m.view.member(from)
-	if member != nil && v.After(m.notices[from].version) {
-		m.notices[from] = notice{version: v, start: member.Start}
+	if member != nil && v.After(m.stagedReports[from].version) {
+		m.stagedReports[from] = stagedReport{version: v, processStart: member.Start}
 	}
 }
 
-// holdersNoticed returns the members that reported holding a version.
-func (m *Machine) holdersNoticed(v version.Version) []string {
+// reportedHolders returns the members whose newest staged version is the given
+// one.
+func (m *Machine) reportedHolders(v version.Version) []string {
 	var names []string
-	for name, held := range m.notices {
-		if held.version == v {
+	for name, report := range m.stagedReports {
+		if report.version == v {
 			names = append(names, name)
 		}
 	}
--- a/internal/distribution/repair.go
+++ b/internal/distribution/repair.go
@@ -10,18 +10,20 @@
 )
 
 // repair is the one version that is to be pulled. One pull is outstanding at a
-// time: the next waits until the one before has had its time, whatever its
-// answer, so that two nodes that do not understand each other stay quiet.
+// time: the next waits until the previous one has had its time, whatever its
+// reply, so that two nodes with incompatible states do not exchange pulls
+// without pause.
 type repair struct {
 	target  version.Version
-	sources []string  // peers that hold the target and were not asked yet
+	sources []string  // peers that have the target and were not queried yet
 	due     time.Time // when the next pull may be sent
-	pulled  bool      // whether a pull for the target was sent: the next waits for due
+	pulled  bool      // whether a pull for the target was sent, so that the next waits for due
 }
 
-// want notes that a peer holds a version which this node lacks.
-func (m *Machine) want(v version.Version, source string, delay time.Duration) {
-	if !m.lacks(v) || m.repair.target.After(v) {
+// scheduleRepair records that a peer has a version, and schedules a pull after
+// the jittered delay if this node needs it.
+func (m *Machine) scheduleRepair(v version.Version, source string, delay time.Duration) {
+	if !m.isNeeded(v) || m.repair.target.After(v) {
 		return
 	}
 	due := m.now.Add(m.jitteredOrNone(delay))
@@ -31,7 +33,7 @@
 	if !m.repair.pulled && due.Before(m.repair.due) {
 		m.repair.due = due
 	}
-	if len(m.repair.sources) < maxSources && !slices.Contains(m.repair.sources, source) {
+	if len(m.repair.sources) < maxRepairSources && !slices.Contains(m.repair.sources, source) {
 		m.repair.sources = append(m.repair.sources, source)
 	}
 }
@@ -43,22 +45,22 @@
 	return m.jittered(delay)
 }
 
-// lacks reports whether the version is worth pulling: newer than all that is
-// held whole, or accepted and newer than the one in force.
-func (m *Machine) lacks(v version.Version) bool {
-	if !v.After(m.active.Version()) || m.isRefused(v) || m.stagedOf(v) != nil {
+// isNeeded reports whether the version should be pulled: it is newer than every
+// complete version here, or accepted and newer than the one in force.
+func (m *Machine) isNeeded(v version.Version) bool {
+	if !v.After(m.active.Version()) || m.isRefused(v) || m.findStaged(v) != nil {
 		return false
 	}
-	return v.After(m.newestWhole()) || m.isAccepted(v)
+	return v.After(m.newestComplete()) || m.isAccepted(v)
 }
 
-// pullIfDue sends the next pull. A peer that did not answer in time is not
-// asked again until it tells anew that it holds the version.
+// pullIfDue sends the next pull. A peer that did not reply in time is not
+// queried again until it reports again that it has the version.
 func (m *Machine) pullIfDue() {
 	if m.repair.target.IsZero() {
 		return
 	}
-	if !m.lacks(m.repair.target) {
+	if !m.isNeeded(m.repair.target) {
 		m.repair = repair{}
 		return
 	}
@@ -70,27 +72,27 @@
 		return
 	}
 	index := m.config.Random.Intn(len(m.repair.sources))
-	asked := m.repair.sources[index]
+	peer := m.repair.sources[index]
 	m.repair.sources = slices.Delete(m.repair.sources, index, index+1)
 	m.repair.due = m.now.Add(m.jittered(m.config.RetryInterval))
 	m.repair.pulled = true
 	pull := &wire.Pull{Have: m.have()}
 	if m.catchUp.phase != phaseCaughtUp {
-		pull.Number = m.catchUp.number
+		pull.Number = m.catchUp.queryNumber
 	}
-	if asked == m.catchUp.confirm {
-		m.catchUp.confirm = ""
+	if peer == m.catchUp.peerToConfirm {
+		m.catchUp.peerToConfirm = ""
 	}
-	m.send(asked, wire.Envelope{Pull: pull})
+	m.send(peer, wire.Envelope{Pull: pull})
 }
 
-// have returns the version against which a peer can make a delta and after
-// which it shall send. A staged version does not count: the accepted one before
-// it may be needed too.
+// have returns the version that a pull gives as its base: the peer sends only
+// later ones and may make deltas against it. A staged version does not count,
+// since the accepted one before it may be needed too.
 func (m *Machine) have() version.Version { return m.newestAccepted() }
 
-// onPull answers with the version in force and with the deltas that lead to it
-// and to the newest staged one.
+// onPull replies with the version in force and with the deltas that lead to it
+// and to the newest staged one, or with the bodies that the pull names.
 func (m *Machine) onPull(from string, pull *wire.Pull) {
 	if len(pull.Missing) > 0 {
 		m.sendBodies(from, pull.Missing)
@@ -98,8 +100,8 @@
 	}
 	m.send(from, wire.Envelope{Accepted: &wire.Accepted{Version: m.active.Version(), Number: pull.Number}})
 	base := snapshot.Empty()
-	if held := m.lookup(pull.Have); held != nil {
-		base = m.deltaBase(held)
+	if set := m.lookup(pull.Have); set != nil {
+		base = m.deltaBase(set)
 	}
 	if m.active.Version().After(pull.Have) {
 		m.sendDelta(from, base, m.active)
@@ -110,27 +112,27 @@
 	}
 }
 
-// deltaBase returns the set against which a delta is made for a peer that holds
-// the given one: the empty set when deltas are switched off.
-func (m *Machine) deltaBase(held *snapshot.Set) *snapshot.Set {
+// deltaBase returns the base of a delta for a peer that has the given set: the
+// empty set if deltas are disabled.
+func (m *Machine) deltaBase(set *snapshot.Set) *snapshot.Set {
 	if m.config.History <= 0 {
 		return snapshot.Empty()
 	}
-	return held
+	return set
 }
 
-// sendDelta sends a repair. Whole sets are limited, so that the load of many
-// started nodes is spread over their peers.
+// sendDelta sends a delta as a repair. Full sets are rate-limited, so that the
+// load of many started nodes is spread over their peers.
 func (m *Machine) sendDelta(to string, from, target *snapshot.Set) {
-	if from.Len() == 0 && !m.deltas.allowWhole(m.now, m.config.MaxWholePerSec) {
+	if from.Len() == 0 && !m.deltas.allowFullSet(m.now, m.config.MaxFullSetsPerSec) {
 		return
 	}
-	m.send(to, wire.Envelope{Push: m.deltas.repairPush(from, target)})
+	m.send(to, wire.Envelope{Push: m.deltas.push(from, target)})
 }
 
 func (m *Machine) sendBodies(to string, keys []snapshot.Key) {
 	var bodies []snapshot.Resource
-	for _, key := range keys[:min(len(keys), maxMissingAsked)] {
+	for _, key := range keys[:min(len(keys), maxBodiesPerPull)] {
 		bodies = append(bodies, m.bodiesOf(key)...)
 	}
 	if len(bodies) > 0 {
@@ -138,31 +140,34 @@
 	}
 }
 
-func (m *Machine) onResource(resource *wire.Resource) { m.fillWith(resource.Resources) }
+func (m *Machine) onResource(resource *wire.Resource) { m.addBodies(resource.Resources) }
 
-// asking is the repeated question for the bodies that the waiting version lacks.
-type asking struct {
+// bodyRequest is the state of the repeated request for the bodies that the
+// waiting version lacks.
+type bodyRequest struct {
 	due     time.Time
 	attempt int
 }
 
-func (a *asking) begin(now time.Time) { *a = asking{due: now} }
+func (a *bodyRequest) begin(now time.Time) { *a = bodyRequest{due: now} }
 
-// askForMissing asks a reader or another peer in turn, with growing waits.
-func (m *Machine) askForMissing() {
-	if m.waiting == nil || m.now.Before(m.asking.due) {
+// requestMissing requests missing bodies from a reader or another peer, with
+// exponential backoff.
+func (m *Machine) requestMissing() {
+	if m.waiting == nil || m.now.Before(m.bodyRequest.due) {
 		return
 	}
 	missing := m.waiting.set.Missing()
-	missing = missing[:min(len(missing), maxMissingAsked)]
+	missing = missing[:min(len(missing), maxBodiesPerPull)]
 	m.send(m.bodySource(), wire.Envelope{Pull: &wire.Pull{Have: m.have(), Missing: missing}})
-	m.asking.due = m.now.Add(m.backoff(m.asking.attempt))
-	m.asking.attempt++
+	m.bodyRequest.due = m.now.Add(m.backoff(m.bodyRequest.attempt))
+	m.bodyRequest.attempt++
 }
 
-// bodySource returns the peer to ask next: readers and random peers by turns.
+// bodySource returns the peer for the next request, alternating between readers
+// and random peers.
 func (m *Machine) bodySource() string {
-	if m.asking.attempt%2 == 0 && len(m.view.readers) > 0 {
+	if m.bodyRequest.attempt%2 == 0 && len(m.view.readers) > 0 {
 		return m.view.readers[m.config.Random.Intn(len(m.view.readers))].name
 	}
 	for _, peer := range m.randomPeers(1) {
--- a/internal/distribution/stage.go
+++ b/internal/distribution/stage.go
@@ -13,28 +13,29 @@
 	m.catchUp.sourceErr = nil
 	m.catchUp.sourceRead = true
 	v := set.Version()
-	m.noteEquivocation(v)
+	m.logEquivocation(v)
 	if m.active.Version().After(v) && !m.active.Version().Conflicts(v) {
-		m.noteOlder(v)
+		m.logOlder(v)
 	}
-	m.offer(set, "")
+	m.addSet(set, "")
 }
 
-// noteOlder logs a stale source once for each version that it gives.
-func (m *Machine) noteOlder(v version.Version) {
-	if m.catchUp.older == v {
+// logOlder logs a stale source, once for each version that it gives.
+func (m *Machine) logOlder(v version.Version) {
+	if m.catchUp.loggedOlder == v {
 		return
 	}
-	m.catchUp.older = v
+	m.catchUp.loggedOlder = v
 	m.log(LogOlder, nil, versionField(v), Field{"active", m.active.Version().String()})
 }
 
-// noteEquivocation logs a second content for a revision that is held.
-func (m *Machine) noteEquivocation(v version.Version) {
-	for _, held := range m.heldVersions() {
-		if held.Conflicts(v) && m.catchUp.equivocation != v {
-			m.catchUp.equivocation = v
-			m.log(LogEquivocation, nil, versionField(v), Field{"held", held.String()}, Field{"wins", version.Max(v, held).String()})
+// logEquivocation logs that a revision has another content than the one present
+// here.
+func (m *Machine) logEquivocation(v version.Version) {
+	for _, existing := range m.heldVersions() {
+		if existing.Conflicts(v) && m.catchUp.loggedEquivocation != v {
+			m.catchUp.loggedEquivocation = v
+			m.log(LogEquivocation, nil, versionField(v), Field{"held", existing.String()}, Field{"wins", version.Max(v, existing).String()})
 		}
 	}
 }
@@ -50,28 +51,28 @@
 	return versions
 }
 
-// offer takes a set that was read, pushed or pulled. A set that is not after
-// the one in force, or that the validator refuses, changes nothing.
-func (m *Machine) offer(set *snapshot.Set, root string) {
+// addSet adds a set that was read, pushed or pulled. A set that is not newer
+// than the one in force, or that the validator refuses, is not added.
+func (m *Machine) addSet(set *snapshot.Set, root string) {
 	v := set.Version()
-	if !v.After(m.active.Version()) || m.stagedOf(v) != nil || m.isRefused(v) {
+	if !v.After(m.active.Version()) || m.findStaged(v) != nil || m.isRefused(v) {
 		return
 	}
 	if m.waiting != nil && m.waiting.version() == v {
-		m.fill(set)
+		m.addBodiesOf(set)
 		return
 	}
 	if err := m.config.Validate(set); err != nil {
 		m.refuse(v, err)
 		return
 	}
-	m.noteEquivocation(v)
-	fresh := &candidate{set: m.fillFromHeld(set), since: m.now, root: root}
-	if fresh.set.Complete() {
-		m.stage(fresh)
+	m.logEquivocation(v)
+	added := &candidate{set: m.reuseBodies(set), since: m.now, root: root}
+	if added.set.Complete() {
+		m.stage(added)
 		return
 	}
-	m.wait(fresh)
+	m.setWaiting(added)
 }
 
 func (m *Machine) refuse(v version.Version, err error) {
@@ -80,44 +81,46 @@
 	m.log(LogRefused, err, versionField(v))
 }
 
-// wait keeps a version that lacks bodies, unless a newer one is waiting.
-func (m *Machine) wait(fresh *candidate) {
-	if m.waiting != nil && m.waiting.version().After(fresh.version()) {
+// setWaiting makes a version that lacks bodies the waiting one, unless a newer
+// one is waiting.
+func (m *Machine) setWaiting(added *candidate) {
+	if m.waiting != nil && m.waiting.version().After(added.version()) {
 		return
 	}
-	m.waiting = fresh
-	m.asking.begin(m.now)
-	missing := fresh.set.Missing()
-	m.log(LogWaiting, nil, versionField(fresh.version()),
+	m.waiting = added
+	m.bodyRequest.begin(m.now)
+	missing := added.set.Missing()
+	m.log(LogWaiting, nil, versionField(added.version()),
 		Field{"missing", strconv.Itoa(len(missing))}, Field{"first", missing[0].String()})
 }
 
-// fill completes the waiting version from another copy of it.
-func (m *Machine) fill(set *snapshot.Set) {
+// addBodiesOf adds the missing bodies of the waiting version from another copy
+// of it.
+func (m *Machine) addBodiesOf(set *snapshot.Set) {
 	var bodies []snapshot.Resource
 	for _, key := range m.waiting.set.Missing() {
 		if resource, found := set.Lookup(key); found && resource.Body != nil {
 			bodies = append(bodies, resource)
 		}
 	}
-	m.fillWith(bodies)
+	m.addBodies(bodies)
 }
 
-func (m *Machine) fillWith(bodies []snapshot.Resource) {
+func (m *Machine) addBodies(bodies []snapshot.Resource) {
 	if m.waiting == nil || len(bodies) == 0 {
 		return
 	}
 	m.waiting.set = m.waiting.set.WithBodies(bodies)
 	if m.waiting.set.Complete() {
-		whole := m.waiting
+		complete := m.waiting
 		m.waiting = nil
-		m.stage(whole)
+		m.stage(complete)
 	}
 }
 
-// fillFromHeld takes missing bodies from the other sets held. WithBodies passes
-// over those of another digest.
-func (m *Machine) fillFromHeld(set *snapshot.Set) *snapshot.Set {
+// reuseBodies adds missing bodies from the other sets in the store. WithBodies
+// ignores those with another digest.
+func (m *Machine) reuseBodies(set *snapshot.Set) *snapshot.Set {
 	missing := set.Missing()
 	if len(missing) == 0 {
 		return set
@@ -129,13 +132,13 @@
 	return set.WithBodies(bodies)
 }
 
-// bodiesOf returns the bodies held under a key, in any version.
+// bodiesOf returns the bodies stored under a key, in any version.
 func (m *Machine) bodiesOf(key snapshot.Key) []snapshot.Resource {
 	var bodies []snapshot.Resource
 	for _, set := range m.heldSets() {
 		resource, found := set.Lookup(key)
-		known := slices.ContainsFunc(bodies, func(other snapshot.Resource) bool { return other.Digest == resource.Digest })
-		if found && resource.Body != nil && !known {
+		duplicate := slices.ContainsFunc(bodies, func(other snapshot.Resource) bool { return other.Digest == resource.Digest })
+		if found && resource.Body != nil && !duplicate {
 			bodies = append(bodies, resource)
 		}
 	}
@@ -153,59 +156,60 @@
 	return append(sets, m.history...)
 }
 
-// stage keeps a version that is whole, passes it on and tells its root.
-func (m *Machine) stage(whole *candidate) {
-	whole.whole = m.now
-	whole.accepted = m.isAccepted(whole.version())
-	m.staged = insertNewest(m.staged, whole, maxStaged+1, func(c *candidate) version.Version { return c.version() })
+// stage stages a complete version, forwards its push and reports it to its
+// root.
+func (m *Machine) stage(complete *candidate) {
+	complete.stagedAt = m.now
+	complete.accepted = m.isAccepted(complete.version())
+	m.staged = insertNewest(m.staged, complete, maxStaged+1, func(c *candidate) version.Version { return c.version() })
 	m.trimStaged()
-	if m.stagedOf(whole.version()) == nil {
-		return // two newer ones are staged: it is not held, so no one may count on it
+	if m.findStaged(complete.version()) == nil {
+		return // two newer ones are staged: it was dropped and must not be reported as staged
 	}
-	if m.waiting != nil && whole.version().After(m.waiting.version()) {
+	if m.waiting != nil && complete.version().After(m.waiting.version()) {
 		m.waiting = nil
 	}
-	m.log(LogStaged, nil, versionField(whole.version()), Field{"root", whole.root})
-	if held := m.pushOf(whole.version()); held != nil {
-		m.tellRoot(held.from, held.push)
-		m.passOn(held)
+	m.log(LogStaged, nil, versionField(complete.version()), Field{"root", complete.root})
+	if pending := m.findPush(complete.version()); pending != nil {
+		m.notifyRoot(pending.from, pending.push)
+		m.forward(pending)
 	}
-	m.tellLeader(whole)
+	m.notifyLeader(complete)
 }
 
-// trimStaged keeps the newest version and, of the others, one that is accepted
-// or being accepted here before the second newest.
+// trimStaged drops one staged version if there are too many: the oldest, or the
+// second oldest if the oldest is accepted or being proposed here.
 func (m *Machine) trimStaged() {
 	if len(m.staged) <= maxStaged {
 		return
 	}
 	dropped := len(m.staged) - 1
-	if oldest := m.staged[dropped].version(); m.isAccepted(oldest) || m.flight.leads(oldest) {
+	if oldest := m.staged[dropped].version(); m.isAccepted(oldest) || m.proposal.isFor(oldest) {
 		dropped--
 	}
-	m.remember(m.staged[dropped].set)
+	m.addHistory(m.staged[dropped].set)
 	m.staged = slices.Delete(m.staged, dropped, dropped+1)
 }
 
-// tellLeader tells the first reader that this node, a reader too, holds a
-// version that came from no tree.
-func (m *Machine) tellLeader(whole *candidate) {
-	if !m.isReader() || whole.root != "" {
+// notifyLeader reports to the first reader that this node, a reader too, has
+// staged a version that no tree delivered.
+func (m *Machine) notifyLeader(complete *candidate) {
+	if !m.isReader() || complete.root != "" {
 		return
 	}
-	whole.noted = m.now
-	m.send(m.view.leader(), wire.Envelope{Staged: &wire.Staged{Version: whole.version(), Zone: m.config.Self.Zone}})
+	complete.notifiedAt = m.now
+	m.send(m.view.leader(), wire.Envelope{Staged: &wire.Staged{Version: complete.version(), Zone: m.config.Self.Zone}})
 }
 
-// tellLeaderAgain repeats what may have been lost.
-func (m *Machine) tellLeaderAgain(whole *candidate) {
-	if m.now.Sub(whole.noted) >= m.config.RetryInterval {
-		m.tellLeader(whole)
+// notifyLeaderIfDue repeats the report, as it may have been lost.
+func (m *Machine) notifyLeaderIfDue(complete *candidate) {
+	if m.now.Sub(complete.notifiedAt) >= m.config.RetryInterval {
+		m.notifyLeader(complete)
 	}
 }
 
-// activateAccepted puts the newest accepted version in force. It holds back
-// while a started node does not know yet whether peers hold a newer one.
+// activateAccepted activates the newest accepted version. A started node does
+// not activate until its catch-up shows whether peers have a newer one.
 func (m *Machine) activateAccepted() {
 	if m.catchUp.phase == phaseStarting {
 		return
@@ -218,13 +222,13 @@
 	}
 }
 
-// activate puts a staged version in force. The version never goes back and is
-// never in part.
+// activate puts a staged version in force. It never activates an older or an
+// incomplete one.
 func (m *Machine) activate(staged *candidate) {
 	if !staged.version().After(m.active.Version()) || !staged.set.Complete() {
 		return
 	}
-	m.remember(m.active)
+	m.addHistory(m.active)
 	m.active = staged.set
 	m.dropUpTo(m.active.Version())
 	m.log(LogActivated, nil, versionField(m.active.Version()))
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -8,11 +8,11 @@
 	"sliphead/internal/version"
 )
 
-// Status is what operators see of a node's distribution state.
+// Status is a node's distribution state as shown to operators.
 type Status struct {
 	Active     version.Version // in force
-	Staged     version.Version // newest held whole, in force or not
-	Waiting    []Waiting       // bodies that a version lacks
+	Staged     version.Version // newest complete one, in force or not
+	Waiting    []Waiting       // bodies that the waiting version lacks
 	Refused    []Refusal       // newest first, bounded
 	Reader     bool            // whether this node reads the source
 	Readers    []string        // the first is the root of the tree
@@ -20,24 +20,24 @@
 	Children   []string        // in the first reader's tree
 	Fresh      bool            // whether this node may serve
 	Phase      string          // starting, resumed or caught-up
-	SourceFail string          // last failure of the source, "" after a read
+	SourceFail string          // last failure to read the source, "" after a read
 }
 
-// Waiting is a body that has not come.
+// Waiting is a body that has not arrived.
 type Waiting struct {
 	Version version.Version
 	Key     snapshot.Key
 	Since   time.Time
 }
 
-// Active returns the set in force, an empty one before the first activation.
+// Active returns the set in force, the empty set before the first activation.
 func (m *Machine) Active() *snapshot.Set { return m.active }
 
-// Status returns the state for operators.
+// Status returns the state shown to operators.
 func (m *Machine) Status() Status {
 	status := Status{
 		Active:  m.active.Version(),
-		Staged:  m.newestWhole(),
+		Staged:  m.newestComplete(),
 		Refused: slices.Clone(m.refused),
 		Reader:  m.isReader(),
 		Fresh:   m.fresh,
--- a/internal/distribution/tree.go
+++ b/internal/distribution/tree.go
@@ -2,23 +2,24 @@
 
 import "slices"
 
-// maxTrees is the number of roots whose trees are kept for one view.
-const maxTrees = 8
+// maxCachedTrees is the number of roots whose trees are cached for one view.
+const maxCachedTrees = 8
 
-// childrenFor returns the members to which this node passes on what the root
+// childrenFor returns the members to which this node forwards what the root
 // sent. Each zone is a tree of tiers by rank: one member, then Fanout, then
 // Fanout squared and so on. A member's parent is chosen by rendezvous hash
 // among the tier above, so that a change of one member moves few others. The
-// root heads its own zone and feeds the first member of each other zone.
+// root heads its own zone and also sends to the first member of each other
+// zone.
 func (v *view) childrenFor(root string) []string {
-	if children, known := v.children[root]; known {
+	if children, known := v.childrenByRoot[root]; known {
 		return children
 	}
-	if len(v.children) >= maxTrees {
-		clear(v.children)
+	if len(v.childrenByRoot) >= maxCachedTrees {
+		clear(v.childrenByRoot)
 	}
 	children := v.deriveChildren(root)
-	v.children[root] = children
+	v.childrenByRoot[root] = children
 	return children
 }
 
@@ -27,26 +28,27 @@
 	if rootMember == nil || selfMember == nil {
 		return nil
 	}
-	order := v.order(selfMember.Zone)
+	order := v.zoneOrder(selfMember.Zone)
 	if rootMember.Zone == selfMember.Zone {
-		order = headedBy(order, root)
+		order = withRootFirst(order, root)
 	}
 	children := v.childrenWithin(order)
 	if root == v.self {
-		children = append(children, v.otherHeads(selfMember.Zone)...)
+		children = append(children, v.headsOfOtherZones(selfMember.Zone)...)
 	}
 	return children
 }
 
-// parentFor returns the member that feeds this node in the root's tree.
+// parentFor returns this node's parent in the root's tree, "" if it is the root
+// or either is not live.
 func (v *view) parentFor(root string) string {
 	rootMember, selfMember := v.member(root), v.member(v.self)
 	if rootMember == nil || selfMember == nil || root == v.self {
 		return ""
 	}
-	order := v.order(selfMember.Zone)
+	order := v.zoneOrder(selfMember.Zone)
 	if rootMember.Zone == selfMember.Zone {
-		order = headedBy(order, root)
+		order = withRootFirst(order, root)
 	}
 	index := indexOf(order, v.self)
 	if index == 0 {
@@ -56,7 +58,7 @@
 	return chooseParent(order[start-width/v.fanout:start], order[index]).name
 }
 
-// tierOf returns the start and width of the tier that holds the index.
+// tierOf returns the start and width of the tier that contains the index.
 func tierOf(index, fanout int) (start, width int) {
 	width = 1
 	for start+width <= index {
@@ -65,8 +67,8 @@
 	return start, width
 }
 
-// childrenWithin returns this node's children among its zone's order.
-func (v *view) childrenWithin(order []ranked) []string {
+// childrenWithin returns this node's children within its zone, given its order.
+func (v *view) childrenWithin(order []rankedMember) []string {
 	index := indexOf(order, v.self)
 	if index < 0 {
 		return nil
@@ -83,8 +85,8 @@
 	return children
 }
 
-// chooseParent returns the parent with the highest pair score.
-func chooseParent(parents []ranked, child ranked) ranked {
+// chooseParent returns the parent with the highest score for the child.
+func chooseParent(parents []rankedMember, child rankedMember) rankedMember {
 	best, bestScore := 0, uint64(0)
 	for i, parent := range parents {
 		if score := mix(parent.score ^ (child.score * pairMultiplier)); score >= bestScore {
@@ -94,7 +96,7 @@
 	return parents[best]
 }
 
-// The multipliers of the finalizer of splitmix64 (Steele, Lea and Flood, "Fast
+// Multipliers of the finalizer of splitmix64 (Steele, Lea and Flood, "Fast
 // splittable pseudorandom number generators", 2014).
 const (
 	pairMultiplier   = 0x9e3779b97f4a7c15
@@ -110,37 +112,37 @@
 	return x ^ x>>31
 }
 
-// order returns the members of a zone by rank.
-func (v *view) order(zone string) []ranked {
-	if v.orders == nil {
-		v.orders = make(map[string][]ranked, len(v.zones))
+// zoneOrder returns the members of a zone by rank.
+func (v *view) zoneOrder(zone string) []rankedMember {
+	if v.orderByZone == nil {
+		v.orderByZone = make(map[string][]rankedMember, len(v.memberCountByZone))
 	}
-	order, known := v.orders[zone]
+	order, known := v.orderByZone[zone]
 	if known {
 		return order
 	}
-	order = make([]ranked, 0, v.zones[zone])
-	for _, member := range v.ranks {
+	order = make([]rankedMember, 0, v.memberCountByZone[zone])
+	for _, member := range v.rankedMembers {
 		if member.zone == zone {
 			order = append(order, member)
 		}
 	}
 	slices.SortFunc(order, compareRanked)
-	v.orders[zone] = order
+	v.orderByZone[zone] = order
 	return order
 }
 
-// otherHeads returns the first member of each other zone, by name of the zone.
-func (v *view) otherHeads(own string) []string {
-	best := make(map[string]ranked, len(v.zones))
-	for _, member := range v.ranks {
+// headsOfOtherZones returns the first member of each other zone, by rank.
+func (v *view) headsOfOtherZones(own string) []string {
+	best := make(map[string]rankedMember, len(v.memberCountByZone))
+	for _, member := range v.rankedMembers {
 		head, known := best[member.zone]
 		if !known || compareRanked(member, head) < 0 {
 			best[member.zone] = member
 		}
 	}
 	delete(best, own)
-	heads := make([]ranked, 0, len(best))
+	heads := make([]rankedMember, 0, len(best))
 	for _, head := range best {
 		heads = append(heads, head)
 	}
@@ -152,18 +154,18 @@
 	return names
 }
 
-// headedBy moves the root to the front of its zone's order.
-func headedBy(order []ranked, root string) []ranked {
+// withRootFirst returns the order with the root moved to the front.
+func withRootFirst(order []rankedMember, root string) []rankedMember {
 	index := indexOf(order, root)
 	if index <= 0 {
 		return order
 	}
-	headed := make([]ranked, 0, len(order))
+	headed := make([]rankedMember, 0, len(order))
 	headed = append(headed, order[index])
 	headed = append(headed, order[:index]...)
 	return append(headed, order[index+1:]...)
 }
 
-func indexOf(order []ranked, name string) int {
-	return slices.IndexFunc(order, func(member ranked) bool { return member.name == name })
+func indexOf(order []rankedMember, name string) int {
+	return slices.IndexFunc(order, func(member rankedMember) bool { return member.name == name })
 }
--- a/internal/distribution/view.go
+++ b/internal/distribution/view.go
@@ -10,16 +10,16 @@
 	"sliphead/internal/wire"
 )
 
-// ranked is a member with its rendezvous score within its zone. The lowest
-// score comes first, leaving members after all others.
-type ranked struct {
+// rankedMember is a member with its rendezvous score within its zone. The
+// lowest score ranks first, and leaving members rank after all others.
+type rankedMember struct {
 	name    string
 	zone    string
 	score   uint64
 	leaving bool
 }
 
-func compareRanked(a, b ranked) int {
+func compareRanked(a, b rankedMember) int {
 	return cmp.Or(compareBool(a.leaving, b.leaving), cmp.Compare(a.score, b.score), strings.Compare(a.name, b.name))
 }
 
@@ -34,35 +34,35 @@
 	}
 }
 
-// view is what this node believes of the membership, with the duties and trees
-// that follow from it. Duties are derived at once, trees when first asked for.
+// view is this node's view of the membership, with the duties and trees derived
+// from it. Duties are derived at once, trees on first use.
 type view struct {
-	self     string
-	members  []wire.Member  // sorted by name, self included
-	ranks    []ranked       // of the members, in the same order
-	zones    map[string]int // members in each zone
-	eligible int            // members that are not leaving
-	readers  []ranked       // the first is the leader
-	fanout   int
-
-	orders   map[string][]ranked // each zone's members by rank, derived when needed
-	children map[string][]string // this node's children by root, derived when needed
+	self              string
+	members           []wire.Member  // sorted by name, self included
+	rankedMembers     []rankedMember // of the members, in the same order
+	memberCountByZone map[string]int // including leaving members
+	eligible          int            // members that are not leaving
+	readers           []rankedMember // the first is the leader
+	fanout            int
+
+	orderByZone    map[string][]rankedMember // members by rank, derived on first use
+	childrenByRoot map[string][]string       // this node's children, derived on first use
 }
 
 func newView(config Config, members []wire.Member) *view {
 	v := &view{
-		self:     config.Self.Name,
-		members:  withSelf(members, config.Self),
-		zones:    make(map[string]int),
-		fanout:   max(config.Fanout, 2),
-		children: make(map[string][]string),
+		self:              config.Self.Name,
+		members:           withSelf(members, config.Self),
+		memberCountByZone: make(map[string]int),
+		fanout:            max(config.Fanout, 2),
+		childrenByRoot:    make(map[string][]string),
 	}
-	v.ranks = make([]ranked, len(v.members))
-	best := make(map[string][]ranked)
+	v.rankedMembers = make([]rankedMember, len(v.members))
+	best := make(map[string][]rankedMember)
 	for i := range v.members {
 		member := rank(&v.members[i])
-		v.ranks[i] = member
-		v.zones[member.zone]++
+		v.rankedMembers[i] = member
+		v.memberCountByZone[member.zone]++
 		if member.leaving {
 			continue
 		}
@@ -73,7 +73,7 @@
 	return v
 }
 
-// withSelf returns the members with this node among them.
+// withSelf returns the members with this node added if it is missing.
 func withSelf(members []wire.Member, self wire.Member) []wire.Member {
 	index, found := slices.BinarySearchFunc(members, self.Name, compareName)
 	if found {
@@ -84,8 +84,8 @@
 
 func compareName(member wire.Member, name string) int { return strings.Compare(member.Name, name) }
 
-func rank(member *wire.Member) ranked {
-	return ranked{
+func rank(member *wire.Member) rankedMember {
+	return rankedMember{
 		name:    member.Name,
 		zone:    member.Zone,
 		score:   xxhash.Sum64String(member.Zone + "\x00" + member.Name),
@@ -93,8 +93,9 @@
 	}
 }
 
-// insertBest keeps the best few of a zone in order.
-func insertBest(best []ranked, candidate ranked, limit int) []ranked {
+// insertBest inserts a candidate into a zone's best members, in order and up to
+// the limit.
+func insertBest(best []rankedMember, candidate rankedMember, limit int) []rankedMember {
 	index, _ := slices.BinarySearchFunc(best, candidate, compareRanked)
 	if index >= limit {
 		return best
@@ -103,11 +104,11 @@
 	return best[:min(len(best), limit)]
 }
 
-// chooseReaders orders the zones' best members, all firsts before all seconds,
-// and cuts the list to the fleet-wide bound.
-func chooseReaders(best map[string][]ranked, limit int) []ranked {
+// chooseReaders orders the best members of all zones, the first of each zone
+// before the second of each, and truncates the list to the limit.
+func chooseReaders(best map[string][]rankedMember, limit int) []rankedMember {
 	type placed struct {
-		ranked
+		rankedMember
 		place int
 	}
 	var all []placed
@@ -117,16 +118,17 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b placed) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), compareRanked(a.ranked, b.ranked))
+		return cmp.Or(cmp.Compare(a.place, b.place), compareRanked(a.rankedMember, b.rankedMember))
 	})
-	readers := make([]ranked, 0, min(len(all), limit))
+	readers := make([]rankedMember, 0, min(len(all), limit))
 	for _, reader := range all[:min(len(all), limit)] {
-		readers = append(readers, reader.ranked)
+		readers = append(readers, reader.rankedMember)
 	}
 	return readers
 }
 
-// sameAs reports whether duties and trees of the two views are the same.
+// sameAs reports whether the members lead to the same duties and trees as the
+// view.
 func (v *view) sameAs(members []wire.Member) bool {
 	return slices.EqualFunc(v.members, members, func(a, b wire.Member) bool {
 		return a.Name == b.Name && a.Zone == b.Zone && a.Start == b.Start &&
@@ -143,12 +145,13 @@
 	return &v.members[index]
 }
 
-// readerRank returns the place of a member among the readers, -1 if it is none.
+// readerRank returns the position of a member among the readers, -1 if it is
+// none.
 func (v *view) readerRank(name string) int {
-	return slices.IndexFunc(v.readers, func(reader ranked) bool { return reader.name == name })
+	return slices.IndexFunc(v.readers, func(reader rankedMember) bool { return reader.name == name })
 }
 
-// leader returns the name of the first reader, "" when there is none.
+// leader returns the name of the first reader, "" if there is none.
 func (v *view) leader() string {
 	if len(v.readers) == 0 {
 		return ""
