--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -99,11 +99,11 @@
 // Batch leads from one revision of the store to another. If Whole is set, it is a full snapshot;
 // otherwise it contains the changes after From. All revisions are of one era.
 type Batch struct {
-	Era     uint64   `json:"era,omitempty"`
-	From    uint64   `json:"from"`
-	To      uint64   `json:"to"`
-	Whole   bool     `json:"whole,omitempty"`
-	Changes []Change `json:"changes,omitempty"`
+	Era      uint64   `json:"era,omitempty"`
+	From     uint64   `json:"from"`
+	To       uint64   `json:"to"`
+	Snapshot bool     `json:"whole,omitempty"`
+	Changes  []Change `json:"changes,omitempty"`
 }
 
 // Point returns the point of the store that the batch leads to.
--- a/internal/catalog/item.go
+++ b/internal/catalog/item.go
@@ -26,7 +26,7 @@
 // leaves that item out. Of several configurations it takes the newest valid one and does not
 // decode the earlier ones.
 func (a *Answer) Batch(problem func(error)) Batch {
-	batch := Batch{Era: a.Era, From: a.From, To: a.To, Whole: a.Whole}
+	batch := Batch{Era: a.Era, From: a.From, To: a.To, Snapshot: a.Whole}
 	configured := false
 	for _, item := range slices.Backward(a.Items) {
 		item.rejectInvalid()
--- a/internal/catalog/item_test.go
+++ b/internal/catalog/item_test.go
@@ -82,7 +82,7 @@
 	other := validInstance("i-2")
 	other.Service = "s9"
 	state := NewState()
-	state.Join(Batch{To: 3, Whole: true, Changes: []Change{
+	state.Apply(Batch{To: 3, Snapshot: true, Changes: []Change{
 		{Revision: 1, Configuration: validConfiguration(1)}, {Revision: 2, Instance: validInstance("i-1")}, {Revision: 3, Instance: other},
 	}})
 	must.Eq(t, []Instance{*validInstance("i-1")}, state.Instances())
--- a/internal/catalog/restored_test.go
+++ b/internal/catalog/restored_test.go
@@ -35,10 +35,10 @@
 
 func newHistory(t *rapid.T) *history {
 	h := &history{t: t, era: 1, store: NewState(), workers: map[string]*simWorker{}, inFlight: map[*State][]Batch{}}
-	h.store.Join(Batch{Era: 1, To: 1, Whole: true})
+	h.store.Apply(Batch{Era: 1, To: 1, Snapshot: true})
 	for range 3 {
 		node := NewState()
-		node.Join(h.store.Since(Position{}))
+		node.Apply(h.store.Since(Position{}))
 		h.nodes = append(h.nodes, node)
 		h.leaving = append(h.leaving, map[string]bool{})
 	}
@@ -48,7 +48,7 @@
 func (h *history) write(change Change) {
 	point := h.store.Point()
 	change.Revision = point.Revision + 1
-	h.store.Join(Batch{Era: point.Era, From: point.Revision, To: change.Revision, Changes: []Change{change}})
+	h.store.Apply(Batch{Era: point.Era, From: point.Revision, To: change.Revision, Changes: []Change{change}})
 }
 
 func (h *history) configure() {
@@ -94,7 +94,7 @@
 	h.era++
 	backup.Era = h.era
 	h.store = NewState()
-	h.store.Join(backup)
+	h.store.Apply(backup)
 }
 
 // deliver lets a node read the store or another node, or receive an earlier batch late.
@@ -105,13 +105,13 @@
 	case "peer":
 		peer := rapid.SampledFrom(h.nodes).Draw(h.t, "peer")
 		h.inFlight[node] = append(h.inFlight[node], peer.Since(node.Position()))
-		node.Join(peer.Since(node.Position()))
+		node.Apply(peer.Since(node.Position()))
 	case "late":
 		if batches := h.inFlight[node]; len(batches) > 0 {
-			node.Join(rapid.SampledFrom(batches).Draw(h.t, "batch"))
+			node.Apply(rapid.SampledFrom(batches).Draw(h.t, "batch"))
 		}
 	case "snapshot":
-		node.Join(h.store.Since(Position{}))
+		node.Apply(h.store.Since(Position{}))
 	}
 }
 
@@ -124,10 +124,10 @@
 	if node.Revision() <= point.Revision {
 		changes := h.store.Since(Position{Point: Point{Era: point.Era, Revision: node.Revision()}})
 		h.inFlight[node] = append(h.inFlight[node], changes)
-		usable, _ = node.Join(changes)
+		usable, _ = node.Apply(changes)
 	}
 	if !usable {
-		node.Join(h.store.Since(Position{}))
+		node.Apply(h.store.Since(Position{}))
 	}
 }
 
@@ -231,7 +231,7 @@
 
 // restoredSnapshot returns a full snapshot of a store restored from a backup.
 func restoredSnapshot(changes ...Change) Batch {
-	return Batch{Era: 2, To: 3, Whole: true, Changes: changes}
+	return Batch{Era: 2, To: 3, Snapshot: true, Changes: changes}
 }
 
 // recordChange returns a worker's record written at a revision.
@@ -245,21 +245,21 @@
 	ended := Instance{ID: "gone", Born: 1, Address: "10.0.0.1:80"}
 	running := Instance{ID: "lives", Born: 1, Address: "10.0.0.2:80"}
 	state := NewState()
-	state.Join(Batch{Era: 1, To: 5, Whole: true, Changes: []Change{recordChange(1, ended), recordChange(2, running)}})
-	state.Join(Batch{Era: 1, From: 5, To: 6, Changes: []Change{{Revision: 6, Removed: "gone"}}})
-	state.Join(restoredSnapshot(recordChange(1, ended), recordChange(2, running)))
+	state.Apply(Batch{Era: 1, To: 5, Snapshot: true, Changes: []Change{recordChange(1, ended), recordChange(2, running)}})
+	state.Apply(Batch{Era: 1, From: 5, To: 6, Changes: []Change{{Revision: 6, Removed: "gone"}}})
+	state.Apply(restoredSnapshot(recordChange(1, ended), recordChange(2, running)))
 	must.Eq(t, []Instance{running}, state.Instances())
 	must.Eq(t, []Instance{ended}, state.Lapsed())
 	must.Eq(t, 1, state.Doubted())
 
-	state.Join(Batch{Era: 2, From: 3, To: 4, Changes: []Change{recordChange(4, ended)}})
+	state.Apply(Batch{Era: 2, From: 3, To: 4, Changes: []Change{recordChange(4, ended)}})
 	must.Eq(t, []Instance{ended, running}, state.Instances())
 	must.SliceEmpty(t, state.Lapsed())
 
-	state.Join(Batch{Era: 2, From: 4, To: 5, Changes: []Change{{Revision: 5, Removed: "gone"}}})
+	state.Apply(Batch{Era: 2, From: 4, To: 5, Changes: []Change{{Revision: 5, Removed: "gone"}}})
 	again := restoredSnapshot(recordChange(1, ended), recordChange(2, running))
 	again.Era = 3
-	state.Join(again)
+	state.Apply(again)
 	must.Eq(t, []Instance{running}, state.Instances())
 	must.True(t, state.Settle())
 	must.Eq(t, []Instance{ended, running}, state.Instances())
@@ -272,8 +272,8 @@
 	earlier := Instance{ID: "earlier", Born: 1, Address: "10.0.0.1:80"}
 	later := Instance{ID: "later", Born: 2, Address: "10.0.0.1:80"}
 	state := NewState()
-	state.Join(Batch{Era: 1, To: 5, Whole: true, Changes: []Change{recordChange(1, earlier), recordChange(5, later)}})
-	state.Join(restoredSnapshot(recordChange(1, earlier)))
+	state.Apply(Batch{Era: 1, To: 5, Snapshot: true, Changes: []Change{recordChange(1, earlier), recordChange(5, later)}})
+	state.Apply(restoredSnapshot(recordChange(1, earlier)))
 	must.SliceEmpty(t, state.Instances())
 	must.Eq(t, []Instance{later}, state.Lapsed())
 }
@@ -285,14 +285,14 @@
 	after := Instance{ID: "a", Born: 2, Address: "10.0.0.1:80"}
 	must.NotEq(t, before.Incarnation(), after.Incarnation())
 	state := NewState()
-	state.Join(Batch{Era: 1, To: 1, Whole: true, Changes: []Change{recordChange(1, before)}})
-	state.Join(Batch{Era: 1, From: 1, To: 2, Changes: []Change{recordChange(2, after)}})
+	state.Apply(Batch{Era: 1, To: 1, Snapshot: true, Changes: []Change{recordChange(1, before)}})
+	state.Apply(Batch{Era: 1, From: 1, To: 2, Changes: []Change{recordChange(2, after)}})
 	must.Eq(t, []Instance{after}, state.Instances())
-	state.Join(restoredSnapshot(recordChange(1, Instance{ID: "a", Born: 1, Address: "10.0.0.1:80"})))
+	state.Apply(restoredSnapshot(recordChange(1, Instance{ID: "a", Born: 1, Address: "10.0.0.1:80"})))
 	for _, instance := range state.Instances() {
 		must.True(t, instance.Draining)
 	}
-	state.Join(Batch{Era: 2, From: 3, To: 4, Changes: []Change{recordChange(4, after)}})
+	state.Apply(Batch{Era: 2, From: 3, To: 4, Changes: []Change{recordChange(4, after)}})
 	must.Eq(t, []Instance{after}, state.Instances())
 }
 
@@ -303,9 +303,9 @@
 		return Change{Revision: 3, Evacuation: &Evacuation{Zone: zone, Ended: ended}}
 	}
 	state := NewState()
-	state.Join(Batch{Era: 1, To: 5, Whole: true, Changes: []Change{evacuation("begun", false)}})
-	state.Join(Batch{Era: 1, From: 5, To: 6, Changes: []Change{{Revision: 6, Evacuation: &Evacuation{Zone: "ended", Ended: true}}}})
-	state.Join(restoredSnapshot(evacuation("ended", false)))
+	state.Apply(Batch{Era: 1, To: 5, Snapshot: true, Changes: []Change{evacuation("begun", false)}})
+	state.Apply(Batch{Era: 1, From: 5, To: 6, Changes: []Change{{Revision: 6, Evacuation: &Evacuation{Zone: "ended", Ended: true}}}})
+	state.Apply(restoredSnapshot(evacuation("ended", false)))
 	must.Eq(t, []string{"begun"}, state.Evacuated())
 	must.Eq(t, 2, state.Doubted())
 	must.True(t, state.Settle())
@@ -319,30 +319,30 @@
 	older, newer := &Configuration{Version: 4}, &Configuration{Version: 7}
 	state, behind := NewState(), NewState()
 	for _, each := range []*State{state, behind} {
-		each.Join(Batch{Era: 1, To: 9, Whole: true, Changes: []Change{{Revision: 9, Configuration: newer}}})
+		each.Apply(Batch{Era: 1, To: 9, Snapshot: true, Changes: []Change{{Revision: 9, Configuration: newer}}})
 	}
-	state.Join(restoredSnapshot(Change{Revision: 1, Configuration: older}))
+	state.Apply(restoredSnapshot(Change{Revision: 1, Configuration: older}))
 	must.Eq(t, newer, state.Configuration())
 
 	fresh := NewState()
-	fresh.Join(Batch{Era: 2, To: 2, Whole: true, Changes: []Change{{Revision: 1, Configuration: older}}})
-	fresh.Join(state.Since(fresh.Position()))
+	fresh.Apply(Batch{Era: 2, To: 2, Snapshot: true, Changes: []Change{{Revision: 1, Configuration: older}}})
+	fresh.Apply(state.Since(fresh.Position()))
 	must.Eq(t, 7, fresh.Position().Version)
 	must.SliceEmpty(t, state.Since(fresh.Position()).Changes)
 
 	further := NewState() // a node that has read more of the store than the node that it follows
-	further.Join(Batch{Era: 2, To: 5, Whole: true, Changes: []Change{{Revision: 1, Configuration: older}}})
-	further.Join(state.Since(further.Position()))
+	further.Apply(Batch{Era: 2, To: 5, Snapshot: true, Changes: []Change{{Revision: 1, Configuration: older}}})
+	further.Apply(state.Since(further.Position()))
 	must.Eq(t, 7, further.Position().Version)
 	must.Eq(t, 5, further.Revision())
 
 	before := state.Position()
 	batch := behind.Since(before)
 	must.SliceEmpty(t, batch.Changes)
-	usable, changed := state.Join(batch)
+	usable, changed := state.Apply(batch)
 	must.True(t, usable)
 	must.False(t, changed)
 	must.Eq(t, before, state.Position())
-	behind.Join(state.Since(behind.Position()))
+	behind.Apply(state.Since(behind.Position()))
 	must.Eq(t, before, behind.Position())
 }
--- a/internal/catalog/since.go
+++ b/internal/catalog/since.go
@@ -28,10 +28,10 @@
 	revision := peer.Revision
 	batch := Batch{Era: s.point.Era, From: revision, To: s.point.Revision}
 	if peer.Era < s.point.Era || revision < s.historyFloor || revision == 0 {
-		batch = Batch{Era: s.point.Era, To: s.point.Revision, Whole: true}
+		batch = Batch{Era: s.point.Era, To: s.point.Revision, Snapshot: true}
 		revision = 0
 	}
-	if s.includesConfiguration(peer, revision, batch.Whole) {
+	if s.includesConfiguration(peer, revision, batch.Snapshot) {
 		batch.Changes = append(batch.Changes, s.configurationChange(peer.Version))
 	}
 	for _, recorded := range s.instances {
@@ -41,13 +41,13 @@
 		}
 	}
 	for _, recorded := range s.evacuations {
-		if recorded.revision > revision && !(batch.Whole && recorded.Ended) {
+		if recorded.revision > revision && !(batch.Snapshot && recorded.Ended) {
 			evacuation := recorded.Evacuation
 			batch.Changes = append(batch.Changes, Change{Revision: recorded.revision, Evacuation: &evacuation})
 		}
 	}
 	for _, removal := range s.removals {
-		if removal.revision > revision && !batch.Whole {
+		if removal.revision > revision && !batch.Snapshot {
 			batch.Changes = append(batch.Changes, Change{Revision: removal.revision, Removed: removal.id})
 		}
 	}
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -74,15 +74,15 @@
 	return instances
 }
 
-// Join applies a batch. It reports whether the batch was usable and whether it changed anything.
+// Apply applies a batch. It reports whether the batch was usable and whether it changed anything.
 // A batch that starts after the current revision leaves a gap and is not usable. Changes of a
 // later era are not usable either, even if their revisions fit, because the changes before them
 // differ from those known here.
-func (s *State) Join(batch Batch) (usable, changed bool) {
+func (s *State) Apply(batch Batch) (usable, changed bool) {
 	if batch.Era < s.point.Era {
 		return true, false
 	}
-	if batch.Whole {
+	if batch.Snapshot {
 		return s.applySnapshot(batch)
 	}
 	if batch.Era > s.point.Era || batch.From > s.point.Revision || s.point.Revision == 0 {
--- a/internal/catalog/state_test.go
+++ b/internal/catalog/state_test.go
@@ -15,28 +15,28 @@
 
 func TestSnapshotReplacesAndBatchesExtend(t *testing.T) {
 	s := NewState()
-	usable, _ := s.Join(Batch{From: 3, To: 4})
+	usable, _ := s.Apply(Batch{From: 3, To: 4})
 	must.False(t, usable) // the state is empty
-	_, changed := s.Join(Batch{Whole: true, To: 5, Changes: []Change{
+	_, changed := s.Apply(Batch{Snapshot: true, To: 5, Changes: []Change{
 		{Revision: 2, Configuration: &Configuration{Version: 7}}, {Revision: 5, Instance: instance("a")},
 	}})
 	must.True(t, changed)
-	usable, _ = s.Join(Batch{From: 6, To: 7, Changes: []Change{{Revision: 7, Removed: "a"}}})
+	usable, _ = s.Apply(Batch{From: 6, To: 7, Changes: []Change{{Revision: 7, Removed: "a"}}})
 	must.False(t, usable) // revision 6 would be missing
-	_, changed = s.Join(Batch{From: 5, To: 7, Changes: []Change{{Revision: 7, Removed: "a"}}})
+	_, changed = s.Apply(Batch{From: 5, To: 7, Changes: []Change{{Revision: 7, Removed: "a"}}})
 	must.True(t, changed)
 	must.SliceEmpty(t, s.Instances())
 	must.Eq(t, 7, s.Configuration().Version)
-	_, changed = s.Join(Batch{Whole: true, To: 6, Changes: []Change{{Revision: 5, Instance: instance("a")}}})
+	_, changed = s.Apply(Batch{Snapshot: true, To: 6, Changes: []Change{{Revision: 5, Instance: instance("a")}}})
 	must.False(t, changed) // older than the state
 }
 
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	s := NewState()
-	s.Join(Batch{Whole: true, To: 5, Changes: []Change{{Revision: 5, Configuration: &Configuration{Version: 9}}}})
-	s.Join(Batch{From: 5, To: 6, Changes: []Change{{Revision: 6, Configuration: &Configuration{Version: 8}}}})
+	s.Apply(Batch{Snapshot: true, To: 5, Changes: []Change{{Revision: 5, Configuration: &Configuration{Version: 9}}}})
+	s.Apply(Batch{From: 5, To: 6, Changes: []Change{{Revision: 6, Configuration: &Configuration{Version: 8}}}})
 	must.Eq(t, 9, s.Configuration().Version)
-	s.Join(Batch{Whole: true, To: 7})
+	s.Apply(Batch{Snapshot: true, To: 7})
 	must.Eq(t, 9, s.Configuration().Version) // a snapshot without a configuration keeps the current one
 }
 
@@ -47,12 +47,12 @@
 	lapsed := func(changes ...Change) []Instance {
 		s := NewState()
 		leaving := &Instance{ID: "b", Address: "10.0.0.2:80", Draining: true}
-		s.Join(Batch{Whole: true, To: 2, Changes: []Change{
+		s.Apply(Batch{Snapshot: true, To: 2, Changes: []Change{
 			{Revision: 1, Instance: &Instance{ID: "a", Address: "10.0.0.1:80"}}, {Revision: 2, Instance: leaving},
 		}})
 		for index, change := range changes {
 			change.Revision = uint64(index + 3)
-			s.Join(Batch{From: change.Revision - 1, To: change.Revision, Changes: []Change{change}})
+			s.Apply(Batch{From: change.Revision - 1, To: change.Revision, Changes: []Change{change}})
 		}
 		return s.Lapsed()
 	}
@@ -64,8 +64,8 @@
 	must.SliceEmpty(t, lapsed(removed, Change{Instance: &Instance{ID: "c", Address: "10.0.0.1:80"}}))
 
 	s := NewState()
-	s.Join(Batch{Whole: true, To: 1, Changes: []Change{{Revision: 1, Instance: instance("a")}}})
-	s.Join(Batch{Whole: true, To: 2}) // a snapshot that lacks the instance
+	s.Apply(Batch{Snapshot: true, To: 1, Changes: []Change{{Revision: 1, Instance: instance("a")}}})
+	s.Apply(Batch{Snapshot: true, To: 2}) // a snapshot that lacks the instance
 	must.Len(t, 1, s.Lapsed())
 	s.ForgetLapsed("a")
 	must.SliceEmpty(t, s.Lapsed())
@@ -75,9 +75,9 @@
 func TestBatchesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := NewState()
-		truth.Join(Batch{Whole: true, To: 1})
+		truth.Apply(Batch{Snapshot: true, To: 1})
 		behind := NewState()
-		behind.Join(truth.Since(Position{}))
+		behind.Apply(truth.Since(Position{}))
 		var sent []Batch
 		for revision := uint64(2); revision < 30; revision++ {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
@@ -85,16 +85,16 @@
 			if rapid.Bool().Draw(t, "gone") {
 				change = Change{Revision: revision, Removed: id}
 			}
-			truth.Join(Batch{From: revision - 1, To: revision, Changes: []Change{change}})
+			truth.Apply(Batch{From: revision - 1, To: revision, Changes: []Change{change}})
 			sent = append(sent, truth.Since(behind.Position()))
 			if rapid.Bool().Draw(t, "deliver") {
-				behind.Join(rapid.SampledFrom(sent).Draw(t, "batch"))
+				behind.Apply(rapid.SampledFrom(sent).Draw(t, "batch"))
 			}
 		}
 		if behind.Revision() > truth.Revision() {
 			t.Fatalf("the follower is ahead of the store")
 		}
-		behind.Join(truth.Since(behind.Position()))
+		behind.Apply(truth.Since(behind.Position()))
 		must.Eq(t, truth.Instances(), behind.Instances())
 	})
 }
@@ -186,20 +186,20 @@
 		truth, other := NewState(), NewState()
 		for revision := uint64(1); revision < 14; revision++ {
 			change := Change{Revision: revision, Configuration: drawConfiguration(t, revision)}
-			batch := Batch{From: revision - 1, To: revision, Whole: revision == 1, Changes: []Change{change}}
-			other.Join(batch)
+			batch := Batch{From: revision - 1, To: revision, Snapshot: revision == 1, Changes: []Change{change}}
+			other.Apply(batch)
 			if revision == 1 || rapid.Bool().Draw(t, "seen") {
-				truth.Join(other.Since(Position{Point: truth.Point()})) // full configurations, some of them missed
+				truth.Apply(other.Since(Position{Point: truth.Point()})) // full configurations, some of them missed
 			}
 			peer := NewState()
-			peer.Join(other.Since(Position{}))
+			peer.Apply(other.Since(Position{}))
 			if truth.Revision() < peer.Revision() {
 				continue
 			}
 			for next := revision + 1; next < revision+4; next++ {
-				truth.Join(Batch{From: next - 1, To: next, Changes: []Change{{Revision: next, Configuration: drawConfiguration(t, next)}}})
+				truth.Apply(Batch{From: next - 1, To: next, Changes: []Change{{Revision: next, Configuration: drawConfiguration(t, next)}}})
 			}
-			usable, _ := peer.Join(roundTrip(t, truth.Since(peer.Position())))
+			usable, _ := peer.Apply(roundTrip(t, truth.Since(peer.Position())))
 			must.True(t, usable)
 			must.Eq(t, sortedRoutes(truth.Configuration().Routes), sortedRoutes(peer.Configuration().Routes))
 			must.Eq(t, sortedTenants(truth.Configuration().Tenants), sortedTenants(peer.Configuration().Tenants))
@@ -229,9 +229,9 @@
 	}
 	second := &Configuration{Version: 2, Services: map[string]Service{"shop": {}}, Routes: slices.Clone(first.Routes)}
 	second.Routes[7].Priority = 1
-	s.Join(Batch{Whole: true, To: 1, Changes: []Change{{Revision: 1, Configuration: first}}})
+	s.Apply(Batch{Snapshot: true, To: 1, Changes: []Change{{Revision: 1, Configuration: first}}})
 	position := s.Position()
-	s.Join(Batch{From: 1, To: 2, Changes: []Change{{Revision: 2, Configuration: second}}})
+	s.Apply(Batch{From: 1, To: 2, Changes: []Change{{Revision: 2, Configuration: second}}})
 	batch := s.Since(position)
 	must.Len(t, 1, batch.Changes)
 	must.Len(t, 1, batch.Changes[0].Difference.Put)
@@ -248,10 +248,10 @@
 		crashed := Instance{ID: ids[0], Service: "s", Address: "10.0.0.1:80"}
 		started := Instance{ID: ids[1], Service: "s", Address: "10.0.0.1:80", Draining: true}
 		other := Instance{ID: "i-c", Service: "s", Address: "10.0.0.2:80"}
-		state.Join(Batch{Whole: true, To: 2, Changes: []Change{{Revision: 1, Instance: &crashed}, {Revision: 2, Instance: &other}}})
-		state.Join(Batch{From: 2, To: 3, Changes: []Change{{Revision: 3, Instance: &started}}})
+		state.Apply(Batch{Snapshot: true, To: 2, Changes: []Change{{Revision: 1, Instance: &crashed}, {Revision: 2, Instance: &other}}})
+		state.Apply(Batch{From: 2, To: 3, Changes: []Change{{Revision: 3, Instance: &started}}})
 		must.Eq(t, []Instance{started, other}, state.Instances())
-		state.Join(Batch{From: 3, To: 4, Changes: []Change{{Revision: 4, Removed: ids[1]}}})
+		state.Apply(Batch{From: 3, To: 4, Changes: []Change{{Revision: 4, Removed: ids[1]}}})
 		must.Eq(t, []Instance{crashed, other}, state.Instances())
 	}
 }
@@ -259,17 +259,17 @@
 // Evacuations and their ends reach a peer both as changes and in a snapshot.
 func TestEvacuations(t *testing.T) {
 	s, peer := NewState(), NewState()
-	s.Join(Batch{Whole: true, To: 2, Changes: []Change{{Revision: 1, Configuration: &Configuration{Version: 1}}, {Revision: 2, Evacuation: &Evacuation{Zone: "z1"}}}})
-	peer.Join(s.Since(peer.Position()))
+	s.Apply(Batch{Snapshot: true, To: 2, Changes: []Change{{Revision: 1, Configuration: &Configuration{Version: 1}}, {Revision: 2, Evacuation: &Evacuation{Zone: "z1"}}}})
+	peer.Apply(s.Since(peer.Position()))
 	must.Eq(t, []string{"z1"}, peer.Evacuated())
 	for revision, change := range []Evacuation{{Zone: "z2"}, {Zone: "z1", Ended: true}} {
-		_, changed := s.Join(Batch{From: uint64(revision + 2), To: uint64(revision + 3), Changes: []Change{{Revision: uint64(revision + 3), Evacuation: &change}}})
+		_, changed := s.Apply(Batch{From: uint64(revision + 2), To: uint64(revision + 3), Changes: []Change{{Revision: uint64(revision + 3), Evacuation: &change}}})
 		must.True(t, changed)
 	}
-	peer.Join(s.Since(peer.Position()))
+	peer.Apply(s.Since(peer.Position()))
 	must.Eq(t, []string{"z2"}, peer.Evacuated())
 	must.Eq(t, []string{"z2"}, s.Evacuated())
-	_, changed := s.Join(Batch{Whole: true, To: 9}) // read again while no zone is evacuated
+	_, changed := s.Apply(Batch{Snapshot: true, To: 9}) // read again while no zone is evacuated
 	must.True(t, changed)
 	must.SliceEmpty(t, s.Evacuated())
 }
@@ -285,24 +285,24 @@
 		return result
 	}
 	s, peer := NewState(), NewState()
-	s.Join(Batch{Whole: true, To: 2, Changes: []Change{{Revision: 1, Configuration: configuration(1, 1600)}, {Revision: 2, Instance: instance("a")}}})
-	peer.Join(s.Since(peer.Position()))
-	s.Join(Batch{Whole: true, To: 8, Changes: []Change{{Revision: 1, Configuration: configuration(1, 1600)}, {Revision: 8, Instance: instance("b")}}})
+	s.Apply(Batch{Snapshot: true, To: 2, Changes: []Change{{Revision: 1, Configuration: configuration(1, 1600)}, {Revision: 2, Instance: instance("a")}}})
+	peer.Apply(s.Since(peer.Position()))
+	s.Apply(Batch{Snapshot: true, To: 8, Changes: []Change{{Revision: 1, Configuration: configuration(1, 1600)}, {Revision: 8, Instance: instance("b")}}})
 	same := s.Since(peer.Position())
-	must.True(t, same.Whole)
+	must.True(t, same.Snapshot)
 	must.Eq(t, []Change{{Revision: 8, Instance: instance("b")}}, same.Changes)
-	s.Join(Batch{Whole: true, To: 9, Changes: []Change{{Revision: 9, Configuration: configuration(2, 1601)}, {Revision: 8, Instance: instance("b")}}})
+	s.Apply(Batch{Snapshot: true, To: 9, Changes: []Change{{Revision: 9, Configuration: configuration(2, 1601)}, {Revision: 8, Instance: instance("b")}}})
 	changed := s.Since(peer.Position())
-	must.True(t, changed.Whole)
+	must.True(t, changed.Snapshot)
 	must.Len(t, 1, changed.Changes[1].Difference.Put)
-	usable, _ := peer.Join(changed)
+	usable, _ := peer.Apply(changed)
 	must.True(t, usable)
 	must.Eq(t, s.Configuration(), peer.Configuration())
 	must.Eq(t, s.Instances(), peer.Instances())
 
 	other := NewState()
-	other.Join(Batch{Whole: true, To: 1, Changes: []Change{{Revision: 1, Configuration: configuration(7, 1)}}})
-	usable, _ = other.Join(changed)
+	other.Apply(Batch{Snapshot: true, To: 1, Changes: []Change{{Revision: 1, Configuration: configuration(7, 1)}}})
+	usable, _ = other.Apply(changed)
 	must.False(t, usable)
 	must.Eq(t, 1, other.Revision())
 }
--- a/internal/catalog/tenant.go
+++ b/internal/catalog/tenant.go
@@ -31,6 +31,7 @@
 	tagLength    = 6
 )
 
+// DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest {
 	sum := sha256.Sum256([]byte(key))
 	return KeyDigest(sum[:digestLength])
--- a/internal/claim/config.go
+++ b/internal/claim/config.go
@@ -43,7 +43,7 @@
 	// after KeyLife.
 	CopyOnly bool
 
-	Retry            time.Duration // interval after which an unacknowledged message is resent
+	RetryInterval    time.Duration // interval after which an unacknowledged message is resent
 	GroupSize        int           // replicas per key
 	MaxResponseBytes int           // largest response that is stored, in bytes
 	ResponseBudget   int           // total size of the stored responses, in bytes
@@ -66,7 +66,7 @@
 	defaults.Set(&c.KeyLife, DefaultKeyLife)
 	defaults.Set(&c.MaxClaim, DefaultMaxClaim)
 	defaults.Set(&c.ClockSkew, DefaultClockSkew)
-	defaults.Set(&c.Retry, DefaultRetry)
+	defaults.Set(&c.RetryInterval, DefaultRetry)
 	defaults.Set(&c.GroupSize, DefaultGroupSize)
 	defaults.Set(&c.MaxResponseBytes, DefaultMaxResponseBytes)
 	defaults.Set(&c.ResponseBudget, DefaultResponseBudget)
--- a/internal/claim/coordinator.go
+++ b/internal/claim/coordinator.go
@@ -48,7 +48,7 @@
 	if m.services[event.Service] == nil || len(m.attempts) >= m.config.MaxAttempts {
 		return []Effect{Decided{event.Holder, Decision{Verdict: VerdictNoQuorum}}}
 	}
-	started := &attempt{claim: event, phase: phaseIdle, phaseDeadline: now.Add(phaseTimeoutFactor * m.config.Retry)}
+	started := &attempt{claim: event, phase: phaseIdle, phaseDeadline: now.Add(phaseTimeoutFactor * m.config.RetryInterval)}
 	m.attempts[event.Holder] = started
 	return m.advance(started, now)
 }
@@ -78,7 +78,7 @@
 	if now.Before(a.resendAt) {
 		return nil
 	}
-	a.resendAt = now.Add(m.config.Retry)
+	a.resendAt = now.Add(m.config.RetryInterval)
 	return m.sendPhaseRequests(a, state, now)
 }
 
@@ -110,8 +110,8 @@
 	a.groups = state.requiredGroups(slotOf(a.claim.Key), now, m.config.retention())
 	a.replies = make(map[string]wire.ClaimReply)
 	a.contacted = true
-	a.resendAt = now.Add(m.config.Retry)
-	a.phaseDeadline = now.Add(phaseTimeoutFactor * m.config.Retry)
+	a.resendAt = now.Add(m.config.RetryInterval)
+	a.phaseDeadline = now.Add(phaseTimeoutFactor * m.config.RetryInterval)
 	return m.sendPhaseRequests(a, state, now)
 }
 
@@ -203,7 +203,7 @@
 	case reply.Vote == wire.VoteMismatch:
 		return m.refuse(a, VerdictMismatch, now)
 	case reply.Vote == wire.VoteFinished && reply.Answer != nil:
-		return m.refuseWith(a, Decision{Verdict: VerdictAnswered, Answer: reply.Answer}, now)
+		return m.refuseWith(a, Decision{Verdict: VerdictAnswered, Response: reply.Answer}, now)
 	case a.phase == phasePrepare && a.hasMajorities(wire.VoteGranted):
 		return m.allow(a)
 	case a.phase == phasePromise && a.hasMajorities(wire.VotePromised) && a.rival() == "":
@@ -288,7 +288,7 @@
 // have replied or the phase timed out.
 func (m *Machine) endPhase(a *attempt, now time.Time) []Effect {
 	if a.hasAny(wire.VoteFinished) {
-		return m.refuse(a, VerdictRan, now)
+		return m.refuse(a, VerdictAlreadyRan, now)
 	}
 	if a.phase == phasePromise && a.hasMajorities(wire.VotePromised) {
 		return m.refuse(a, VerdictBusy, now) // rival is not "": otherwise receiveVote would have requested votes
@@ -314,7 +314,7 @@
 // preempting each other.
 func (m *Machine) backOff(a *attempt, now time.Time) {
 	m.setPhase(a, phaseIdle, 0)
-	a.backoffUntil = now.Add(time.Duration(m.config.Random.Int64N(int64(m.config.Retry))))
+	a.backoffUntil = now.Add(time.Duration(m.config.Random.Int64N(int64(m.config.RetryInterval))))
 }
 
 // allow decides that the attempt may run.
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -67,7 +67,7 @@
 // Run processes claims and events until the context ends. Claims in progress at
 // that time get the verdict no-quorum.
 func (k *Keeper) Run(ctx context.Context) error {
-	ticker := time.NewTicker(k.config.Retry / ticksPerRetry)
+	ticker := time.NewTicker(k.config.RetryInterval / ticksPerRetry)
 	defer ticker.Stop()
 	defer close(k.ended)
 	for {
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -65,7 +65,7 @@
 		must.Eq(t, 1, verdicts[VerdictRun])
 		time.Sleep(time.Second)
 		stored := keepers[1].Claim(ctx, simService, "order", "body")
-		must.Eq(t, Decision{Verdict: VerdictAnswered, Answer: []byte("done")}, stored)
+		must.Eq(t, Decision{Verdict: VerdictAnswered, Response: []byte("done")}, stored)
 		cancel()
 		synctest.Wait()
 	})
--- a/internal/claim/machine_test.go
+++ b/internal/claim/machine_test.go
@@ -13,7 +13,7 @@
 // start of a sim.
 func testConfig() Config {
 	return Config{
-		KeyLife: time.Minute, MaxClaim: 5 * time.Second, Retry: 50 * time.Millisecond,
+		KeyLife: time.Minute, MaxClaim: 5 * time.Second, RetryInterval: 50 * time.Millisecond,
 		ClockSkew: 100 * time.Millisecond, Since: time.Unix(1_800_000_001, 0),
 	}
 }
@@ -46,7 +46,7 @@
 	s.deliverAll()
 	stored := s.submit(s.processes[5], "order-1", "body")
 	s.advance(time.Second)
-	must.Eq(t, Decision{Verdict: VerdictAnswered, Answer: []byte("done")}, s.decided[stored])
+	must.Eq(t, Decision{Verdict: VerdictAnswered, Response: []byte("done")}, s.decided[stored])
 
 	other := s.submit(s.processes[2], "order-1", "another body")
 	s.advance(time.Second)
@@ -287,6 +287,6 @@
 		s.start(p.worker, 1)
 	}
 	holder := s.submit(s.processes[4], "order", "body")
-	s.advance(phaseTimeoutFactor*s.config.Retry + s.config.Retry)
+	s.advance(phaseTimeoutFactor*s.config.RetryInterval + s.config.RetryInterval)
 	must.Eq(t, VerdictNoQuorum, s.decided[holder].Verdict)
 }
--- a/internal/claim/notice.go
+++ b/internal/claim/notice.go
@@ -70,7 +70,7 @@
 
 func (m *Machine) sendNotice(sent *notice, state *serviceState, now time.Time) []Effect {
 	sent.attempts++
-	sent.resendAt = now.Add(noticeRetryFactor * m.config.Retry)
+	sent.resendAt = now.Add(noticeRetryFactor * m.config.RetryInterval)
 	var effects []Effect
 	for _, worker := range sortedKeys(sent.unacknowledged) {
 		effects = m.send(effects, state, worker, wire.Envelope{ClaimRequest: &sent.request})
--- a/internal/claim/recovery.go
+++ b/internal/claim/recovery.go
@@ -60,7 +60,7 @@
 	}
 	state.recovery.urgent = false
 	state.recovery.requestedAt = now
-	state.recovery.retryDelay = min(max(2*state.recovery.retryDelay, minCopyRetryFactor*m.config.Retry), maxCopyRetryFactor*m.config.Retry)
+	state.recovery.retryDelay = min(max(2*state.recovery.retryDelay, minCopyRetryFactor*m.config.RetryInterval), maxCopyRetryFactor*m.config.RetryInterval)
 	state.recovery.requestNumber = m.nextNumber()
 	state.recovery.pendingParts = make(map[replyID]map[int]wire.ClaimCopy)
 	request := wire.ClaimCopy{
@@ -83,7 +83,7 @@
 	since := now.Sub(state.recovery.requestedAt)
 	switch {
 	case state.recovery.urgent:
-		return since >= minCopyRetryFactor*m.config.Retry
+		return since >= minCopyRetryFactor*m.config.RetryInterval
 	case state.readySlots() != allSlots:
 		return since >= state.recovery.retryDelay
 	default:
--- a/internal/command/status/status.go
+++ b/internal/command/status/status.go
@@ -123,7 +123,7 @@
 		fmt.Fprintf(output, "limit      the worker has accepted at most %g requests/s for %.1f s, %d sent in the last %s\n", limit.PerSecond, limit.ForS, limit.Sent, workerlimit.SentWindow)
 	}
 	if limits := status.Quota; limits != nil {
-		fmt.Fprintf(output, "quota      %d tenants with a limit, %d stripes here, %d tokens available\n", limits.Tenants, limits.Stripes, limits.Credits)
+		fmt.Fprintf(output, "quota      %d tenants with a limit, %d stripes here, %d tokens available\n", limits.Tenants, limits.Stripes, limits.CachedTokens)
 	}
 	for _, each := range status.Quarantine.Requests {
 		fmt.Fprintf(output, "%-10s %s, next trial in %.0f s after %d trials, workers %s\n", each.State, each.Fingerprint, each.TrialIn, each.Trials, strings.Join(each.Workers, ", "))
--- a/internal/control/alternative_peers.go
+++ b/internal/control/alternative_peers.go
@@ -12,9 +12,9 @@
 // maxAlternativePeers bounds the peers that a rejected dialer receives.
 const maxAlternativePeers = 5
 
-// Others returns a few live members that a peer may try when this node rejects its
+// AlternativePeers returns a few live members that a peer may try when this node rejects its
 // connection, members of this node's zone first. It is safe for concurrent use.
-func (l *Loop) Others() []wire.Member {
+func (l *Loop) AlternativePeers() []wire.Member {
 	peers := l.alternativePeers.Load()
 	if peers == nil {
 		return nil
--- a/internal/control/alternative_peers_test.go
+++ b/internal/control/alternative_peers_test.go
@@ -28,7 +28,7 @@
 // A busy peer proposes members that the loop does not have; the loop must contact them.
 func TestMembersProposedByBusyPeerAreContacted(t *testing.T) {
 	p := newReadyLoop(t)
-	must.Eq(t, []wire.Member{p.peer}, p.loop.Others())
+	must.Eq(t, []wire.Member{p.peer}, p.loop.AlternativePeers())
 	p.loop.handle(p.fromPeer(wire.Envelope{Busy: &wire.Busy{Others: []wire.Member{{Name: "other", Peer: "other:1"}, p.peer}}}), p.now)
 	for range 20 * 60 { // a minute
 		p.tick()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -37,21 +37,21 @@
 	Configure(configuration claim.Configure)
 }
 
-// Config holds the settings and dependencies of a Loop. All fields except OnReader
+// Config holds the settings and dependencies of a Loop. All fields except OnReaderChanged
 // are required.
 type Config struct {
-	Membership   membership.Config
-	Distribution distribution.Config
-	Holder       *snapshot.Holder
-	Sender       Sender
-	Claims       Claims
-	Lease        time.Duration // how long a view may be used after the loop last handled an event
-	Tick         time.Duration
-	Overlap      time.Duration // how long the worker's node still admits requests after a window has closed
-	LocalWorker  string        // declared name of this node's worker, "" at an edge
-	Now          func() time.Time
-	Logger       log.Interface
-	OnReader     func(reader bool) // called by the loop when this node starts or stops reading the source
+	Membership      membership.Config
+	Distribution    distribution.Config
+	Holder          *snapshot.Holder
+	Sender          Sender
+	Claims          Claims
+	Lease           time.Duration // how long a view may be used after the loop last handled an event
+	Tick            time.Duration
+	Overlap         time.Duration // how long the worker's node still admits requests after a window has closed
+	LocalWorker     string        // declared name of this node's worker, "" at an edge
+	Now             func() time.Time
+	Logger          log.Interface
+	OnReaderChanged func(reader bool) // called by the loop when this node starts or stops reading the source
 }
 
 // Loop is the control loop of a node. Create it with New and start it with Run.
--- a/internal/control/handle.go
+++ b/internal/control/handle.go
@@ -222,7 +222,7 @@
 // read the source.
 func (l *Loop) reportReaderDuty(reader bool) {
 	logging.Event(l.config.Logger, "duty.changed", logging.Fields{"reader": reader})
-	if l.config.OnReader != nil {
-		l.config.OnReader(reader)
+	if l.config.OnReaderChanged != nil {
+		l.config.OnReaderChanged(reader)
 	}
 }
--- a/internal/control/simulation/process_test.go
+++ b/internal/control/simulation/process_test.go
@@ -96,7 +96,7 @@
 	p.context, p.cancel = context.WithCancel(context.Background())
 	p.catchUp = f.expectCatchUp(p)
 	p.keeper = claim.NewKeeper(claim.KeeperConfig{
-		Config: claim.Config{Node: n.name, Worker: n.worker, Retry: 500 * time.Millisecond, Random: rand.New(rand.NewPCG(seed, 1))},
+		Config: claim.Config{Node: n.name, Worker: n.worker, RetryInterval: 500 * time.Millisecond, Random: rand.New(rand.NewPCG(seed, 1))},
 		Send:   func(outgoing wire.Outgoing) { p.loop.Send(outgoing) },
 		Now:    p.clock,
 	})
@@ -136,7 +136,7 @@
 		Lease: lease, Tick: controlTick, Overlap: overlap, LocalWorker: n.worker,
 		Now:    p.now,
 		Logger: &log.Logger{Handler: log.HandlerFunc(p.countLog), Level: log.InfoLevel},
-		OnReader: func(reader bool) {
+		OnReaderChanged: func(reader bool) {
 			n.fleet.ordered(func() { p.reader, p.lastReported = reader, sourceContent{} })()
 		},
 	}
--- a/internal/logging/problems.go
+++ b/internal/logging/problems.go
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Settled marks a problem as resolved, so that its next occurrence is logged.
-func (p *Problems) Settled(event, subject string) {
+// Resolve marks a problem as resolved, so that its next occurrence is logged.
+func (p *Problems) Resolve(event, subject string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.lastText, event+" "+subject)
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -86,7 +86,7 @@
 		Logger:    options.Logger,
 		Changed:   n.publish,
 		Retain:    n.retain,
-		Received:  func(bytes int) { n.inbound.Received(int64(bytes)) },
+		Received:  func(bytes int) { n.inbound.RecordReceived(int64(bytes)) },
 	})
 	n.quarantine = keeper.New(keeper.Config{Address: advertisedHost(configured, address), Listen: address, Port: port, Logger: options.Logger})
 	if n.quota, err = newQuota(configured, options.Logger); err != nil {
@@ -112,23 +112,23 @@
 
 func (n *CatalogNode) trafficConfig(protocol traffic.Protocol) traffic.Config {
 	config := traffic.Config{
-		Node:          n.settings.Name,
-		Zone:          n.settings.Zone,
-		Region:        n.settings.Region,
-		Service:       n.settings.Service,
-		Holder:        n.holder,
-		Worker:        n.settings.Worker.Name,
-		WorkerAddress: n.settings.Worker.Address,
-		Protocol:      protocol,
-		Registerer:    n.options.Registry,
-		Logger:        n.options.Logger,
-		Dial:          dialFrom(n.settings.Listen.Peer),
-		Seen:          n.replicator.Seen,
-		Quarantine:    n.quarantine,
-		KnowledgeAge:  n.replicator.Age,
+		Node:             n.settings.Name,
+		Zone:             n.settings.Zone,
+		Region:           n.settings.Region,
+		Service:          n.settings.Service,
+		Holder:           n.holder,
+		Worker:           n.settings.Worker.Name,
+		WorkerAddress:    n.settings.Worker.Address,
+		Protocol:         protocol,
+		Registerer:       n.options.Registry,
+		Logger:           n.options.Logger,
+		Dial:             dialFrom(n.settings.Listen.Peer),
+		ObservePeer:      n.replicator.ReportSeen,
+		Quarantine:       n.quarantine,
+		ConfigurationAge: n.replicator.Age,
 		Limits: traffic.Limits{
 			SmallBody:      maxBufferedRequest,
-			SmallAnswer:    maxBufferedResponse,
+			SmallResponse:  maxBufferedResponse,
 			RetryRatio:     n.settings.Retry.Ratio,
 			RetrySlack:     n.settings.Retry.Slack,
 			ColdOverage:    n.settings.Cold.Overage,
@@ -167,12 +167,12 @@
 		Regions:       n.settings.Regions,
 		Lapsed:        n.lapsed(lapses),
 		Zone:          n.settings.Zone,
-		Before:        before,
+		Previous:      before,
 	})
 	if view == nil {
 		return
 	}
-	n.inbound.Recorded(view.Local)
+	n.inbound.UpdateLocal(view.Local)
 	n.holder.Store(view)
 	if before != nil && before.Local.Instance != view.Local.Instance || view.Local.Draining || view.Local.Evacuated {
 		n.inbound.LocalChanged()
@@ -190,7 +190,7 @@
 	var lapsed []snapshot.LapsedInstance
 	for _, lapse := range lapses {
 		until := lapse.Since.Add(time.Duration(lapsedFraction * float64(n.settings.Drain.Worker.Duration)))
-		lapsed = append(lapsed, snapshot.LapsedInstance{Instance: lapse.Instance, Until: until})
+		lapsed = append(lapsed, snapshot.LapsedInstance{Instance: lapse.Instance, AcceptedUntil: until})
 	}
 	return lapsed
 }
@@ -212,7 +212,7 @@
 	}
 	if before == nil || before.Local != view.Local {
 		logging.Event(n.options.Logger, "worker.recorded", logging.Fields{
-			"instance": view.Local.Instance, "service": view.Local.Service, "draining": view.Local.Draining, "cold_ms": view.Local.Cold.Milliseconds(), "slots": view.Local.Slots, "revision": revision,
+			"instance": view.Local.Instance, "service": view.Local.Service, "draining": view.Local.Draining, "cold_ms": view.Local.ColdRemaining.Milliseconds(), "slots": view.Local.Slots, "revision": revision,
 		})
 	}
 }
@@ -234,7 +234,7 @@
 	group.Go(func() error { return n.runQuota(ctx) })
 	limits := n.trafficConfig(traffic.Protocol{}).Limits
 	outboundListener := n.listener("outbound", n.settings.Listen.Outbound, n.outbound)
-	outboundListener.safe, outboundListener.rejectClosing = n.outbound.MayRunAhead, n.outbound.RefuseBehind
+	outboundListener.safe, outboundListener.rejectClosing = n.outbound.MayRunConcurrently, n.outbound.RefuseOnClosing
 	group.Go(func() error { return outboundListener.serve(ctx) })
 	inboundListener := n.listener("inbound", n.settings.Listen.Inbound, n.inbound)
 	group.Go(func() error { return inboundListener.serve(ctx) })
@@ -278,7 +278,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	return n.quarantine.LetGo(ctx, fingerprint, "operator").State.String(), nil
+	return n.quarantine.Release(ctx, fingerprint, "operator").State.String(), nil
 }
 
 // CatalogStatus is the state of a catalog node that its admin listener reports to operators.
--- a/internal/node/catalog_metrics.go
+++ b/internal/node/catalog_metrics.go
@@ -83,7 +83,7 @@
 		return
 	}
 	for _, result := range quotakeeper.Results() {
-		sink.counter(quotaMetric, keeper.Counted(result), string(result))
+		sink.counter(quotaMetric, keeper.RequestCount(result), string(result))
 	}
 	messages, bytes := keeper.Sent()
 	sink.counter(quotaMessagesMetric, messages)
--- a/internal/node/catalog_quota.go
+++ b/internal/node/catalog_quota.go
@@ -24,11 +24,11 @@
 	}
 	return quotakeeper.New(quotakeeper.Config{
 		Quota: quota.Config{
-			Settings: quota.Settings{Window: configured.Quota.Window.Duration, Overage: configured.Quota.Overage, Slack: configured.Quota.Slack},
-			Self:     advertisedHost(configured, listen.Addr().String()),
-			Zone:     configured.Zone,
-			Region:   configured.Region,
-			Lag:      configured.Source.Freshness.Duration,
+			Settings:         quota.Settings{Window: configured.Quota.Window.Duration, Overage: configured.Quota.Overage, Slack: configured.Quota.Slack},
+			Self:             advertisedHost(configured, listen.Addr().String()),
+			Zone:             configured.Zone,
+			Region:           configured.Region,
+			PropagationDelay: configured.Source.Freshness.Duration,
 		},
 		Listen: listen,
 		Logger: logger,
--- a/internal/node/catalog_stop.go
+++ b/internal/node/catalog_stop.go
@@ -14,11 +14,11 @@
 // phase.
 const stopPoll = 50 * time.Millisecond
 
-// beginStop starts a planned stop. LeaveBy is called before stopping is closed, so that
+// beginStop starts a planned stop. StopBy is called before stopping is closed, so that
 // responses already close their connections by the time the node reports not ready.
 func (n *CatalogNode) beginStop() {
 	n.stopBegan = time.Now()
-	n.outbound.LeaveBy(n.stopBegan.Add(n.fractionOfStop(strictAdmission)), n.stopBegan.Add(n.fractionOfStop(forcedEnd)))
+	n.outbound.StopBy(n.stopBegan.Add(n.fractionOfStop(strictAdmission)), n.stopBegan.Add(n.fractionOfStop(forcedEnd)))
 	close(n.stopping)
 }
 
@@ -73,7 +73,7 @@
 func (n *CatalogNode) endRequests(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, finalResponseTime)
 	defer cancel()
-	n.outbound.End()
+	n.outbound.CancelRunning()
 	_ = n.outbound.Wait(bounded) // its only error is the timeout; the remaining requests are logged as cut
 }
 
--- a/internal/node/configure.go
+++ b/internal/node/configure.go
@@ -19,13 +19,13 @@
 // transportConfig connects the peer transport to the control loop.
 func (n *Node) transportConfig() transport.Config {
 	return transport.Config{
-		Bind:     n.settings.Listen.Peer,
-		Self:     func() wire.Member { return n.self },
-		Others:   func() []wire.Member { return n.loop.Others() },
-		Security: transport.Security(n.settings.Security),
-		Deliver:  func(received transport.Received) { n.loop.Deliver(received) },
-		Logger:   n.options.Logger,
-		Random:   newRandom(),
+		Bind:             n.settings.Listen.Peer,
+		Self:             func() wire.Member { return n.self },
+		AlternativePeers: func() []wire.Member { return n.loop.AlternativePeers() },
+		Security:         transport.Security(n.settings.Security),
+		Deliver:          func(received transport.Received) { n.loop.Deliver(received) },
+		Logger:           n.options.Logger,
+		Random:           newRandom(),
 	}
 }
 
@@ -55,18 +55,18 @@
 // controlConfig connects the control loop to the other parts.
 func (n *Node) controlConfig() control.Config {
 	return control.Config{
-		Membership:   n.membershipConfig(),
-		Distribution: n.distributionConfig(),
-		Holder:       n.holder,
-		Sender:       n.transport,
-		Claims:       n.keeper,
-		Lease:        n.settings.Distribution.Lease.Duration,
-		Tick:         controlTick,
-		Overlap:      n.settings.Distribution.ScheduleOverlap.Duration,
-		LocalWorker:  n.self.Worker,
-		Now:          time.Now,
-		Logger:       n.options.Logger,
-		OnReader:     func(reader bool) { n.source.setDuty(reader) },
+		Membership:      n.membershipConfig(),
+		Distribution:    n.distributionConfig(),
+		Holder:          n.holder,
+		Sender:          n.transport,
+		Claims:          n.keeper,
+		Lease:           n.settings.Distribution.Lease.Duration,
+		Tick:            controlTick,
+		Overlap:         n.settings.Distribution.ScheduleOverlap.Duration,
+		LocalWorker:     n.self.Worker,
+		Now:             time.Now,
+		Logger:          n.options.Logger,
+		OnReaderChanged: func(reader bool) { n.source.setDuty(reader) },
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -213,7 +213,7 @@
 // checkAdminResponses checks the status and metrics of two ready nodes.
 func checkAdminResponses(t *testing.T, workerNode, edge *running) {
 	t.Helper()
-	others := workerNode.transportConfig().Others()
+	others := workerNode.transportConfig().AlternativePeers()
 	must.Len(t, 1, others)
 	must.Eq(t, edge.self.Name, others[0].Name)
 	_, metrics, err := fetch(edge.settings.Listen.Admin, "/metrics")
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -137,7 +137,7 @@
 func (r *requests) start(ctx context.Context, group *errgroup.Group) {
 	listen := r.node.settings.Listen
 	outboundListener := r.listener("outbound", listen.Outbound, r.outbound)
-	outboundListener.safe, outboundListener.security = r.outbound.MayRunAhead, r.security
+	outboundListener.safe, outboundListener.security = r.outbound.MayRunConcurrently, r.security
 	group.Go(func() error { return outboundListener.serve(ctx) })
 	adminServer := &http.Server{Handler: r.adminHandler(), ReadHeaderTimeout: r.node.settings.Limits.HeaderTimeout.Duration}
 	group.Go(func() error { return serveUntil(ctx, listen.Admin, adminServer, nil) })
--- a/internal/quarantine/keeper/keeper.go
+++ b/internal/quarantine/keeper/keeper.go
@@ -69,8 +69,8 @@
 // Empty reports whether there are no records.
 func (k *Keeper) Empty() bool { return k.view.Load().Empty() }
 
-// Knows reports whether there are records of a request with this head.
-func (k *Keeper) Knows(head quarantine.Head) bool { return k.view.Load().Knows(head) }
+// HasHead reports whether there are records of a request with this head.
+func (k *Keeper) HasHead(head quarantine.Head) bool { return k.view.Load().HasHead(head) }
 
 // Verdict returns how a request is to be treated now, and the time until that changes.
 func (k *Keeper) Verdict(fingerprint quarantine.Fingerprint) (quarantine.Verdict, time.Duration) {
@@ -97,9 +97,9 @@
 	return before.State == quarantine.OnTrial
 }
 
-// LetGo releases a request, so that it is sent to workers again, and returns the verdict before
+// Release releases a request, so that it is sent to workers again, and returns the verdict before
 // the release.
-func (k *Keeper) LetGo(ctx context.Context, fingerprint quarantine.Fingerprint, by string) quarantine.Verdict {
+func (k *Keeper) Release(ctx context.Context, fingerprint quarantine.Fingerprint, by string) quarantine.Verdict {
 	verdict, _ := k.Verdict(fingerprint)
 	k.submit(ctx, quarantine.ReleaseOrdered{Fingerprint: fingerprint, By: by}, fingerprint)
 	return verdict
--- a/internal/quarantine/keeper/keeper_test.go
+++ b/internal/quarantine/keeper/keeper_test.go
@@ -124,8 +124,8 @@
 		each.WorkerCrashed(t.Context(), fmt.Sprint("i-", index), []quarantine.Fingerprint{requestNumber(1)})
 	}
 	f.waitForState(t, quarantine.Held)
-	must.True(t, f.keepers[4].Knows(requestNumber(1).Head()))
-	must.False(t, f.keepers[4].Knows(requestNumber(2).Head()))
+	must.True(t, f.keepers[4].HasHead(requestNumber(1).Head()))
+	must.False(t, f.keepers[4].HasHead(requestNumber(2).Head()))
 	must.False(t, f.keepers[4].BeginTrial(t.Context(), requestNumber(1), "i-4"), must.Sprint("no trial may begin while the request is held"))
 	must.Eq(t, 1, f.keepers[3].Status().Held)
 
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -74,9 +74,9 @@
 // Empty reports whether there are no records.
 func (v *View) Empty() bool { return v == nil || len(v.histories) == 0 }
 
-// Knows reports whether there are records of a request with this head. Only then does the
+// HasHead reports whether there are records of a request with this head. Only then does the
 // digest of a request's body need to be computed.
-func (v *View) Knows(head Head) bool {
+func (v *View) HasHead(head Head) bool {
 	if v == nil {
 		return false
 	}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -127,7 +127,7 @@
 // start starts a node's process without any state.
 func (f *fleet) start(n *fleetNode) {
 	n.down, n.suspended, n.backlog, n.requests = false, false, nil, map[uint64]*fleetTenant{}
-	n.machine = New(Config{Settings: f.settings, Self: n.host.Address, Zone: n.host.Zone, Region: "r1", Lag: maxPropagation, Random: rand.NewPCG(f.random.Uint64(), 0)}, f.now)
+	n.machine = New(Config{Settings: f.settings, Self: n.host.Address, Zone: n.host.Zone, Region: "r1", PropagationDelay: maxPropagation, Random: rand.NewPCG(f.random.Uint64(), 0)}, f.now)
 	n.nextTick = time.Time{}
 	f.step(n, Tick{})
 }
--- a/internal/quota/keeper/counts.go
+++ b/internal/quota/keeper/counts.go
@@ -35,8 +35,8 @@
 	return []quota.Result{quota.Cached, quota.Granted, quota.Fallback, quota.Rejected, quota.Unlimited}
 }
 
-// Counted returns the number of requests with this outcome since the start.
-func (k *Keeper) Counted(result quota.Result) uint64 { return k.counts.of(result).Load() }
+// RequestCount returns the number of requests with this outcome since the start.
+func (k *Keeper) RequestCount(result quota.Result) uint64 { return k.counts.of(result).Load() }
 
 // Sent returns the number of datagrams sent to other nodes and their total bytes.
 func (k *Keeper) Sent() (datagrams, bytes uint64) {
--- a/internal/quota/keeper/keeper.go
+++ b/internal/quota/keeper/keeper.go
@@ -114,8 +114,8 @@
 	return false, overloadRetryAfter
 }
 
-// GiveBack implements traffic.Quotas. The token is lost if the input queue is full.
-func (k *Keeper) GiveBack(tenant *catalog.Tenant) {
+// Refund implements traffic.Quotas. The token is lost if the input queue is full.
+func (k *Keeper) Refund(tenant *catalog.Tenant) {
 	select {
 	case k.inputs <- input{event: quota.TokenReturned{Tenant: tenant.Name}}:
 	default:
--- a/internal/quota/keeper/keeper_test.go
+++ b/internal/quota/keeper/keeper_test.go
@@ -94,7 +94,7 @@
 		f.keepers = append(f.keepers, New(Config{
 			Quota: quota.Config{
 				Settings: quota.Settings{Window: 5 * time.Second, Overage: 0.25, Slack: 20},
-				Self:     address, Zone: fmt.Sprint("z", index%2), Lag: time.Second,
+				Self:     address, Zone: fmt.Sprint("z", index%2), PropagationDelay: time.Second,
 			},
 			Listen: netip.AddrPortFrom(netip.MustParseAddr(address), port), Now: now,
 		}))
@@ -133,10 +133,10 @@
 		must.Greater(t, 0, retryAfter)
 	}
 	must.Between(t, total-stripes, granted, total)
-	f.keepers[0].GiveBack(tenant)
+	f.keepers[0].Refund(tenant)
 	taken, _ := f.keepers[0].Take(t.Context(), tenant)
 	must.True(t, taken)
-	must.Greater(t, 0, f.keepers[0].Counted(quota.Rejected))
+	must.Greater(t, 0, f.keepers[0].RequestCount(quota.Rejected))
 }
 
 // Take must return when its context ends, even if the owner goroutine has not started or has
--- a/internal/quota/machine.go
+++ b/internal/quota/machine.go
@@ -13,9 +13,9 @@
 	Self     string // IP address by which other nodes reach this one
 	Zone     string
 	Region   string
-	// Lag is the time within which all connected nodes observe a change of the catalog.
-	Lag    time.Duration
-	Random rand.Source
+	// PropagationDelay is the time within which all connected nodes observe a change of the catalog.
+	PropagationDelay time.Duration
+	Random           rand.Source
 }
 
 // idleTickInterval is the time until the next Tick when nothing else is due.
@@ -172,7 +172,7 @@
 	from := m.started
 	for _, changed := range []time.Time{m.hosts.changedAt, tenant.limitChanged} {
 		if !changed.IsZero() {
-			from = later(from, changed.Add(m.config.Lag))
+			from = later(from, changed.Add(m.config.PropagationDelay))
 		}
 	}
 	return from
@@ -199,9 +199,9 @@
 
 // Status is the state reported to operators.
 type Status struct {
-	Tenants int `json:"tenants"` // with a limit
-	Stripes int `json:"stripes"` // on this node, of tenants that had a request or query here
-	Credits int `json:"credits"` // unused tokens on this node
+	Tenants      int `json:"tenants"` // with a limit
+	Stripes      int `json:"stripes"` // on this node, of tenants that had a request or query here
+	CachedTokens int `json:"credits"` // unused tokens on this node
 }
 
 // Status returns the current state.
@@ -212,7 +212,7 @@
 			status.Stripes++
 		}
 		for _, batch := range tenant.cached {
-			status.Credits += batch.tokens
+			status.CachedTokens += batch.tokens
 		}
 	}
 	return status
--- a/internal/quota/machine_test.go
+++ b/internal/quota/machine_test.go
@@ -23,7 +23,7 @@
 // start.
 func newPair(t *testing.T, rate, burst float64) (*Machine, time.Time) {
 	t.Helper()
-	m := New(Config{Settings: exampleSettings, Self: ownAddress, Zone: "z0", Lag: maxPropagation, Random: rand.NewPCG(1, 2)}, startTime)
+	m := New(Config{Settings: exampleSettings, Self: ownAddress, Zone: "z0", PropagationDelay: maxPropagation, Random: rand.NewPCG(1, 2)}, startTime)
 	m.Step(Configured{Tenants: []catalog.Tenant{{Name: "press", RatePerSecond: rate, Burst: burst}}, Hosts: hostsIn(2, 2)}, startTime)
 	return m, startTime.Add(time.Hour)
 }
@@ -111,7 +111,7 @@
 	must.Nil(t, m.find("press", now))
 	must.Eq(t, Unlimited, decisionIn(t, m.Step(TokenRequested{ID: 1, Tenant: "press"}, now)).Result)
 
-	started := New(Config{Settings: exampleSettings, Self: ownAddress, Zone: "z0", Lag: maxPropagation, Random: rand.NewPCG(1, 2)}, now)
+	started := New(Config{Settings: exampleSettings, Self: ownAddress, Zone: "z0", PropagationDelay: maxPropagation, Random: rand.NewPCG(1, 2)}, now)
 	started.Step(lowered, now)
 	must.Eq(t, 0, started.drainOwnStripe(now))
 }
@@ -119,7 +119,7 @@
 // A node that takes over another node's stripe must grant nothing until the change has reached
 // that node, which could grant the same tokens until then.
 func TestMovedStripeWaitsForPropagation(t *testing.T) {
-	m := New(Config{Settings: exampleSettings, Self: ownAddress, Zone: "z0", Lag: maxPropagation, Random: rand.NewPCG(1, 2)}, startTime)
+	m := New(Config{Settings: exampleSettings, Self: ownAddress, Zone: "z0", PropagationDelay: maxPropagation, Random: rand.NewPCG(1, 2)}, startTime)
 	tenants := []catalog.Tenant{{Name: "press", RatePerSecond: 10, Burst: 10}}
 	m.Step(Configured{Tenants: tenants, Hosts: hostsIn(2, 2)[1:]}, startTime)
 	now := startTime.Add(time.Hour)
@@ -142,7 +142,7 @@
 	cancelled := sendIn(t, effects)
 	must.Eq(t, Send{Host: peerAddress, Message: Message{Kind: Cancel, ID: query.Message.ID}}, cancelled)
 	m.Step(MessageReceived{Message: Message{Kind: Reply, ID: query.Message.ID, Tokens: 1}}, now.Add(sameRegionTimeout))
-	must.Eq(t, 0, m.Status().Credits)
+	must.Eq(t, 0, m.Status().CachedTokens)
 
 	other, now := newPair(t, 10, 10)
 	from := netip.MustParseAddrPort(peerAddress + ":1")
@@ -164,10 +164,10 @@
 	m.drainOwnStripe(now)
 	query := sendIn(t, m.Step(TokenRequested{ID: 1, Tenant: "press"}, now))
 	m.Step(MessageReceived{Message: Message{Kind: Reply, ID: query.Message.ID, Tokens: 3}}, now)
-	must.Eq(t, 2, m.Status().Credits)
+	must.Eq(t, 2, m.Status().CachedTokens)
 	returned := sendIn(t, m.Step(Tick{}, now.Add(exampleSettings.tokenLife()/2)))
 	must.Eq(t, Send{Host: peerAddress, Message: Message{Kind: Return, Tenant: "press", Tokens: 2}}, returned)
-	must.Eq(t, 0, m.Status().Credits)
+	must.Eq(t, 0, m.Status().CachedTokens)
 }
 
 // Tokens past their lifetime must not be used: those cached while the process was suspended,
@@ -177,16 +177,16 @@
 	life := exampleSettings.tokenLife()
 	must.Eq(t, Granted, decisionIn(t, m.Step(TokenRequested{ID: 1, Tenant: "press"}, now)).Result)
 	m.Step(TokenReturned{Tenant: "press"}, now.Add(life/4))
-	must.Eq(t, 1, m.Status().Credits)
+	must.Eq(t, 1, m.Status().CachedTokens)
 	must.Eq(t, Cached, decisionIn(t, m.Step(TokenRequested{ID: 2, Tenant: "press"}, now.Add(life/4))).Result)
 	m.Step(TokenReturned{Tenant: "press"}, now.Add(life+time.Millisecond))
-	must.Eq(t, 0, m.Status().Credits)
+	must.Eq(t, 0, m.Status().CachedTokens)
 
 	must.Eq(t, Granted, decisionIn(t, m.Step(TokenRequested{ID: 3, Tenant: "press"}, now)).Result)
 	m.Step(TokenReturned{Tenant: "press"}, now)
 	level := m.find("press", now).ownStripe.level
 	m.Step(Tick{}, now.Add(life+time.Millisecond))
-	must.Eq(t, 0, m.Status().Credits)
+	must.Eq(t, 0, m.Status().CachedTokens)
 	must.Less(t, level+1, m.find("press", now).ownStripe.level)
 }
 
@@ -215,7 +215,7 @@
 	m.Step(Cancelled{ID: 1, Tenant: "press"}, now)
 	effects := m.Step(MessageReceived{Message: Message{Kind: Reply, ID: query.Message.ID, Tokens: 1}}, now)
 	must.Len(t, 0, effects)
-	must.Eq(t, 1, m.Status().Credits)
+	must.Eq(t, 1, m.Status().CachedTokens)
 }
 
 // While the node of a stripe is down, in a flood only one request may wait for it each time its
@@ -225,7 +225,7 @@
 // Seen: while machines were replaced, callers of a tenant that sent three times its limit were
 // told 429 after 80 ms, twice the timeout of an unresponsive node.
 func TestFloodDoesNotWaitForUnresponsiveNode(t *testing.T) {
-	m := New(Config{Settings: exampleSettings, Self: ownAddress, Zone: "z0", Lag: maxPropagation, Random: rand.NewPCG(1, 2)}, startTime)
+	m := New(Config{Settings: exampleSettings, Self: ownAddress, Zone: "z0", PropagationDelay: maxPropagation, Random: rand.NewPCG(1, 2)}, startTime)
 	m.Step(Configured{Tenants: []catalog.Tenant{{Name: "press", RatePerSecond: 10, Burst: 10}}, Hosts: hostsIn(3, 3)}, startTime)
 	now := startTime.Add(time.Hour)
 	m.drainOwnStripe(now)
@@ -250,7 +250,7 @@
 	for _, rate := range []float64{2, 251, 10_000} {
 		sum := 0
 		for _, each := range append(hostsIn(zones, nodes), Host{Address: "10.9.9.9"}) {
-			m := New(Config{Settings: exampleSettings, Self: each.Address, Lag: maxPropagation, Random: rand.NewPCG(1, 2)}, startTime)
+			m := New(Config{Settings: exampleSettings, Self: each.Address, PropagationDelay: maxPropagation, Random: rand.NewPCG(1, 2)}, startTime)
 			m.Step(Configured{Tenants: []catalog.Tenant{{Name: "press", RatePerSecond: rate, Burst: rate}}, Hosts: hostsIn(zones, nodes)}, startTime)
 			sum += m.find("press", startTime).fallbackShare
 		}
--- a/internal/replication/confirm.go
+++ b/internal/replication/confirm.go
@@ -56,7 +56,7 @@
 // returns false if the batch starts after the current revision and so leaves a gap.
 func (m *Machine) applyBatch(batch catalog.Batch, confirmedAt time.Time, poll confirmation, now time.Time) bool {
 	before := m.state.Point()
-	usable, changed := m.state.Join(batch)
+	usable, changed := m.state.Apply(batch)
 	if !usable {
 		m.needSnapshot = true
 		return false
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -93,7 +93,7 @@
 
 func newFleet(zones, perZone int) *fleet {
 	f := &fleet{now: start, store: catalog.NewState(), changedAt: map[uint64]time.Time{}}
-	f.store.Join(catalog.Batch{Whole: true, To: 1, Changes: []catalog.Change{configured(1)}})
+	f.store.Apply(catalog.Batch{Snapshot: true, To: 1, Changes: []catalog.Change{configured(1)}})
 	f.revision = 1
 	for zone := range zones {
 		for index := range perZone {
@@ -123,7 +123,7 @@
 	if change.Configuration != nil {
 		change.Configuration.Version = f.revision + f.versionOffset
 	}
-	f.store.Join(catalog.Batch{Era: f.store.Point().Era, From: f.revision - 1, To: f.revision, Changes: []catalog.Change{change}})
+	f.store.Apply(catalog.Batch{Era: f.store.Point().Era, From: f.revision - 1, To: f.revision, Changes: []catalog.Change{change}})
 	f.changedAt[f.revision] = f.now
 }
 
@@ -132,7 +132,7 @@
 	f.versionOffset += f.revision - backup.To
 	backup.Era = f.store.Point().Era + 1
 	f.store = catalog.NewState()
-	f.store.Join(backup)
+	f.store.Apply(backup)
 	f.revision, f.restoredRevision = backup.To, backup.To
 	f.changedAt[f.revision] = f.now
 	for _, node := range f.nodes {
--- a/internal/replication/machine.go
+++ b/internal/replication/machine.go
@@ -199,7 +199,7 @@
 	m.failures = 0
 	m.longPollTimedOut = false
 	m.nextPoll = now
-	if event.Batch.Whole {
+	if event.Batch.Snapshot {
 		m.needSnapshot = false
 	}
 	m.pollSerial++
--- a/internal/replication/start_test.go
+++ b/internal/replication/start_test.go
@@ -43,7 +43,7 @@
 	started := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	m := New(Config{Self: "10.0.0.1", Zone: "z", Freshness: 2 * time.Second}, started)
 	m.Step(Tick{}, started)
-	m.Step(PollSucceeded{Batch: catalog.Batch{To: 5, Whole: true}, ConfirmedAt: started}, started)
+	m.Step(PollSucceeded{Batch: catalog.Batch{To: 5, Snapshot: true}, ConfirmedAt: started}, started)
 	asked := m.polledAt
 	resumed := started.Add(pause)
 	m.Step(PollSucceeded{Batch: catalog.Batch{From: 5, To: 5}, ConfirmedAt: resumed}, resumed)
--- a/internal/replicator/age_test.go
+++ b/internal/replicator/age_test.go
@@ -25,7 +25,7 @@
 	})
 	must.Eq(t, 0, r.Age())
 	change := catalog.Change{Revision: 5, Instance: &catalog.Instance{ID: "i-1", Address: "10.0.0.1:80"}}
-	r.step(t.Context(), replication.PollSucceeded{Batch: catalog.Batch{To: 5, Whole: true, Changes: []catalog.Change{change}}, ConfirmedAt: now})
+	r.step(t.Context(), replication.PollSucceeded{Batch: catalog.Batch{To: 5, Snapshot: true, Changes: []catalog.Change{change}}, ConfirmedAt: now})
 	now = now.Add(300 * time.Millisecond)
 	must.Eq(t, 300*time.Millisecond, r.Age())
 	change = catalog.Change{Revision: 6, Instance: &catalog.Instance{ID: "i-2", Address: "10.0.0.2:80"}}
--- a/internal/replicator/replicator.go
+++ b/internal/replicator/replicator.go
@@ -97,9 +97,9 @@
 	return &Replicator{config: config, machine: machine, inputs: make(chan any, inputQueue), followers: map[*follower]struct{}{}, announcing: map[string]bool{}}
 }
 
-// Seen reports that another node has contacted this one. It does not block: if the queue is full,
+// ReportSeen reports that another node has contacted this one. It does not block: if the queue is full,
 // the report is dropped.
-func (r *Replicator) Seen(address string) {
+func (r *Replicator) ReportSeen(address string) {
 	select {
 	case r.inputs <- replication.PeerSeen{Address: address}:
 	default:
--- a/internal/snapshot/catalog.go
+++ b/internal/snapshot/catalog.go
@@ -27,18 +27,18 @@
 	Connections   int // maximum number of open connections; 0: unspecified
 	Draining      bool
 	Evacuated     bool          // whether no requests are to be sent to its zone
-	Cold          time.Duration // remaining cold time when its record was written
+	ColdRemaining time.Duration // remaining cold time when its record was written
 	ColdStart     time.Duration // duration of the cold start of workers of its service
 	ColdPerSecond float64       // requests a second that it can serve while it is cold; 0: not bounded
 	HealthPath    string        // path of its health check; "" if it has none
 	Lapsed        bool          // whether its record expired without a deregistration
-	Until         time.Time     // if Lapsed: until when, by package clock, it may still receive requests
+	AcceptedUntil time.Time     // if Lapsed: until when, by package clock, it may still receive requests
 }
 
 // LapsedInstance is an instance whose record expired without a deregistration.
 type LapsedInstance struct {
 	catalog.Instance
-	Until time.Time // until when, by package clock, it may still receive requests
+	AcceptedUntil time.Time // until when, by package clock, it may still receive requests
 }
 
 // CatalogInput is the input for the resolution of a catalog.
@@ -49,7 +49,7 @@
 	Regions       map[string]string // by zone
 	Lapsed        []LapsedInstance
 	Zone          string // of this node
-	Before        *View  // the previous view, whose routes are reused while the configuration is unchanged; nil: none
+	Previous      *View  // the previous view, whose routes are reused while the configuration is unchanged; nil: none
 }
 
 // FromCatalog returns the view of a catalog, or nil while the catalog has no configuration.
@@ -73,7 +73,7 @@
 // are built only once for each configuration: workers change far more often, all nodes build a
 // view after each change, and a mesh of hundreds of nodes has thousands of routes.
 func viewWithRoutes(configuration *catalog.Configuration, input CatalogInput) *View {
-	if previous := input.Before; previous != nil && previous.configuration == configuration {
+	if previous := input.Previous; previous != nil && previous.configuration == configuration {
 		copied := *previous
 		copied.Resolved = input.At
 		return &copied
@@ -166,7 +166,7 @@
 	for _, lapsed := range input.Lapsed {
 		if lapsed.Address == input.WorkerAddress {
 			local := localOf(lapsed.Instance, configuration)
-			local.Lapsed, local.Until = true, lapsed.Until
+			local.Lapsed, local.AcceptedUntil = true, lapsed.AcceptedUntil
 			return local
 		}
 	}
@@ -182,7 +182,7 @@
 		Slots:         instance.Capacity,
 		Connections:   service.MaxConnections,
 		Draining:      instance.Draining,
-		Cold:          instance.ColdRemaining,
+		ColdRemaining: instance.ColdRemaining,
 		ColdStart:     service.ColdStart,
 		ColdPerSecond: service.ColdPerSecond,
 		HealthPath:    service.HealthPath,
--- a/internal/snapshot/catalog_bench_test.go
+++ b/internal/snapshot/catalog_bench_test.go
@@ -19,16 +19,16 @@
 			Targets: []catalog.WeightedTarget{{Service: "shop", Weight: 1}}, Timeout: time.Second, Target: 400 * time.Millisecond,
 		})
 	}
-	batch := catalog.Batch{Whole: true, To: 200, Changes: []catalog.Change{{Revision: 1, Configuration: configuration}}}
+	batch := catalog.Batch{Snapshot: true, To: 200, Changes: []catalog.Change{{Revision: 1, Configuration: configuration}}}
 	for worker := range 95 {
 		batch.Changes = append(batch.Changes, catalog.Change{Revision: uint64(worker + 2), Instance: &catalog.Instance{
 			ID: fmt.Sprintf("i-%d", worker), Service: "shop", Zone: fmt.Sprintf("z%d", worker%6), Address: fmt.Sprintf("10.0.0.%d:80", worker), Capacity: 4,
 		}})
 	}
-	state.Join(batch)
+	state.Apply(batch)
 	input := CatalogInput{At: time.Now(), WorkerAddress: "10.0.0.1:80", InboundPort: "81"}
 	for name, before := range map[string]*View{"configuration": nil, "instance": FromCatalog(state, input)} {
-		input.Before = before
+		input.Previous = before
 		b.Run("changed="+name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/source/poll.go
+++ b/internal/source/poll.go
@@ -40,7 +40,7 @@
 	case err != nil:
 		problems.Log("machines.failed", "", err, logging.Fields{"kind": fault.KindOf(err)})
 	default:
-		problems.Settled("machines.failed", "")
+		problems.Resolve("machines.failed", "")
 		emit(machines)
 	}
 	return err
--- a/internal/source/reader.go
+++ b/internal/source/reader.go
@@ -191,7 +191,7 @@
 		r.Emit(Result{Revision: document.Revision, Err: err})
 		return
 	}
-	r.problems.Settled("source.documentRefused", "")
+	r.problems.Resolve("source.documentRefused", "")
 	r.current = Result{Document: parsed, Revision: document.Revision, Secrets: make(map[string]string, len(parsed.Secrets))}
 	r.fetchSecrets(ctx, r.missingSecrets())
 	if ctx.Err() == nil {
@@ -226,7 +226,7 @@
 			r.problems.Log("source.secretMissing", name, err, logging.Fields{"secret": name})
 			continue
 		}
-		r.problems.Settled("source.secretMissing", name)
+		r.problems.Resolve("source.secretMissing", name)
 		r.current.Secrets[name] = value
 		received = true
 	}
@@ -260,7 +260,7 @@
 	}
 	logging.Event(r.Logger, "source.recovered", logging.Fields{"failures": r.failures})
 	r.failures = 0
-	r.problems.Settled("source.failed", "")
+	r.problems.Resolve("source.failed", "")
 	if !updated && r.documentValid {
 		r.Emit(r.copy())
 	}
--- a/internal/traffic/ack_delay_test.go
+++ b/internal/traffic/ack_delay_test.go
@@ -33,9 +33,9 @@
 	a := newAdmitter("shop", Limits{Slots: 1, QueueLength: 16})
 	now := time.Now()
 	arrival := admission.Arrival[*exchange]{Class: admission.Interactive, Kind: "order", Deadline: now.Add(time.Minute), Waiter: &exchange{}}
-	ticket, _ := a.queue.Take(arrival, now.Add(-run))
+	ticket, _ := a.queue.Admit(arrival, now.Add(-run))
 	a.queue.Done(ticket, now)
-	a.queue.Take(arrival, now)
+	a.queue.Admit(arrival, now)
 	return a
 }
 
@@ -44,12 +44,12 @@
 func TestShortWaitQueuesDespiteAlternative(t *testing.T) {
 	a := busyAdmitter(20 * time.Millisecond)
 	x := &exchange{
-		fromNode: true, elsewhere: true, instance: "i-0", class: class{rank: 1},
+		fromNode: true, hasAlternative: true, instance: "i-0", class: class{rank: 1},
 		route: &snapshot.Route{}, writer: nil, request: &http.Request{},
 	}
-	must.NotNil(t, a.noWait(x))
+	must.NotNil(t, a.refuseUnlessQueued(x))
 	x.rerouteTime = time.Millisecond
-	must.NotNil(t, a.noWait(x))
+	must.NotNil(t, a.refuseUnlessQueued(x))
 	x.rerouteTime = 50 * time.Millisecond
-	must.Nil(t, a.noWait(x))
+	must.Nil(t, a.refuseUnlessQueued(x))
 }
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -33,19 +33,19 @@
 	DefaultAgedEvery = 20
 )
 
-// WaitShare bounds the predicted time behind queued work: a request may spend at most
-// 1/WaitShare of its spare time (time to the deadline, less the first grant and the run) on
+// SpareTimeDivisor bounds the predicted time behind queued work: a request may spend at most
+// 1/SpareTimeDivisor of its spare time (time to the deadline, less the first grant and the run) on
 // it. A longer queue serves no more requests and makes all of them late.
-const WaitShare = 4
+const SpareTimeDivisor = 4
 
 // Verdict is the decision on a request.
 type Verdict int
 
 // The verdicts.
 const (
-	Queued  Verdict = iota // waits for a slot
-	Granted                // may run now
-	Refused                // must not run
+	Queued   Verdict = iota // waits for a slot
+	Granted                 // may run now
+	Rejected                // must not run
 )
 
 // Ticket tracks one request from its arrival to the end of its run. Its exported fields are
@@ -54,7 +54,7 @@
 	Waiter     W // caller's handle of the request, to be notified of the decision
 	Verdict    Verdict
 	RetryAfter time.Duration // when rejected: the predicted wait
-	GiveUp     time.Time     // when queued: the latest time at which a grant is still useful
+	GrantBy    time.Time     // when queued: the latest time at which a grant is still useful
 
 	class    Class
 	start    float64 // virtual start time, see fairness
@@ -106,9 +106,9 @@
 	return q.running < q.settings.Slots && q.length == 0 && q.rate.wait(now) == 0
 }
 
-// Outranks reports whether a request of a lower priority than the class is running or
+// HasLowerClass reports whether a request of a lower priority than the class is running or
 // queued. If so, the next free slots go to the class.
-func (q *Queue[W]) Outranks(class Class) bool {
+func (q *Queue[W]) HasLowerClass(class Class) bool {
 	for of := range q.busy {
 		if of.class > class {
 			return true
@@ -129,12 +129,12 @@
 	return q.fill(now)
 }
 
-// Arrive is Take for a request without tenant, kind and late deadline.
+// Arrive is Admit for a request without tenant, kind and late deadline.
 func (q *Queue[W]) Arrive(class Class, deadline, now time.Time, waiter W) (ticket *Ticket[W], decided []*Ticket[W]) {
-	return q.Take(Arrival[W]{Class: class, Deadline: deadline, Waiter: waiter}, now)
+	return q.Admit(Arrival[W]{Class: class, Deadline: deadline, Waiter: waiter}, now)
 }
 
-// Arrival describes a request for Take.
+// Arrival describes a request for Admit.
 type Arrival[W any] struct {
 	Class    Class
 	Tenant   string    // "" for none
@@ -144,19 +144,19 @@
 	Waiter   W         // copied to the ticket
 	// Last, if set, is the deadline for a late response to a caller that will not retry: a
 	// request that cannot meet Deadline then joins the late queue.
-	Last time.Time
+	LateDeadline time.Time
 }
 
-// Take admits a request: it is granted, queued or rejected, as the ticket's Verdict shows.
+// Admit admits a request: it is granted, queued or rejected, as the ticket's Verdict shows.
 // decided holds the queued tickets that were evicted (rejected) to make room for it.
-func (q *Queue[W]) Take(arrival Arrival[W], now time.Time) (ticket *Ticket[W], decided []*Ticket[W]) {
+func (q *Queue[W]) Admit(arrival Arrival[W], now time.Time) (ticket *Ticket[W], decided []*Ticket[W]) {
 	class, deadline := arrival.Class, arrival.Deadline
 	ticket = &Ticket[W]{
 		Waiter: arrival.Waiter, class: class, start: q.fair.start(arrival.Tenant), kind: kind{class, arrival.Kind},
 		arrived: now, deadline: deadline,
 	}
 	defer func() {
-		if ticket.Verdict != Refused {
+		if ticket.Verdict != Rejected {
 			q.fair.accept(arrival.Tenant, arrival.Weight, ticket.start)
 		}
 	}()
@@ -168,8 +168,8 @@
 	before, queued := q.insertPosition(class, ticket.start, ticket.kind, first, now)
 	wait := first + queued
 	spare := deadline.Sub(now) - first - q.conservativeRun(ticket.kind, now)
-	if spare < 0 || queued > spare/WaitShare {
-		if !q.enqueueLate(ticket, first, arrival.Last, now) {
+	if spare < 0 || queued > spare/SpareTimeDivisor {
+		if !q.enqueueLate(ticket, first, arrival.LateDeadline, now) {
 			reject(ticket, wait)
 		}
 		return ticket, nil
@@ -234,7 +234,7 @@
 func (q *Queue[W]) enqueue(ticket *Ticket[W], waits *list.List, before *list.Element, now time.Time) {
 	const marginShare = 20
 	margin := max(q.expectedRun(ticket.kind, now)/2, ticket.deadline.Sub(now)/marginShare)
-	ticket.GiveUp = ticket.deadline.Add(-margin)
+	ticket.GrantBy = ticket.deadline.Add(-margin)
 	ticket.Verdict = Queued
 	ticket.queuedIn = waits
 	if before == nil {
@@ -262,7 +262,7 @@
 }
 
 func reject[W any](ticket *Ticket[W], wait time.Duration) {
-	ticket.Verdict = Refused
+	ticket.Verdict = Rejected
 	ticket.RetryAfter = wait
 }
 
@@ -273,7 +273,7 @@
 	for q.running < q.settings.Slots && q.length > 0 && q.rate.wait(now) == 0 {
 		ticket := q.next(now)
 		q.remove(ticket)
-		if now.After(ticket.GiveUp) {
+		if now.After(ticket.GrantBy) {
 			reject(ticket, q.predict(ticket.class, ticket.start, now))
 		} else {
 			q.grant(ticket, now)
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -38,7 +38,7 @@
 	queue.Arrive(Interactive, deadline, now, "")
 	queue.Arrive(Interactive, deadline, now, "")
 	late, _ := queue.Arrive(Interactive, now.Add(200*time.Millisecond), now, "")
-	must.Eq(t, Refused, late.Verdict)
+	must.Eq(t, Rejected, late.Verdict)
 	must.Eq(t, 150*time.Millisecond, late.RetryAfter)
 	must.Eq(t, 1, queue.Waiting())
 }
@@ -70,9 +70,9 @@
 	urgent, decided := queue.Arrive(Internal, deadline, start, "")
 	must.Eq(t, Queued, urgent.Verdict)
 	must.Len(t, 1, decided)
-	must.Eq(t, Refused, waiting.Verdict)
+	must.Eq(t, Rejected, waiting.Verdict)
 	another, decided := queue.Arrive(Internal, deadline, start, "")
-	must.Eq(t, Refused, another.Verdict)
+	must.Eq(t, Rejected, another.Verdict)
 	must.SliceEmpty(t, decided)
 }
 
@@ -158,9 +158,9 @@
 		switch ticket.Verdict {
 		case Granted:
 			heap.Push(&pending, event{at: now.Add(time.Duration(random.ExpFloat64() * float64(ticket.Waiter.service))), ticket: ticket})
-		case Refused:
+		case Rejected:
 			tallies[ticket.Waiter].rejected++
-			if !ticket.GiveUp.IsZero() {
+			if !ticket.GrantBy.IsZero() {
 				tallies[ticket.Waiter].rejectedLate++
 			}
 		}
@@ -173,7 +173,7 @@
 			tallies[e.flow].offered++
 			next(e.flow, now)
 			var ticket *Ticket[*flow]
-			ticket, decided = queue.Take(Arrival[*flow]{Class: e.flow.class, Tenant: e.flow.tenant, Weight: e.flow.weight, Deadline: now.Add(e.flow.deadline), Waiter: e.flow}, now)
+			ticket, decided = queue.Admit(Arrival[*flow]{Class: e.flow.class, Tenant: e.flow.tenant, Weight: e.flow.weight, Deadline: now.Add(e.flow.deadline), Waiter: e.flow}, now)
 			decide(ticket, now)
 		} else {
 			if now.After(e.ticket.deadline) {
@@ -228,14 +228,14 @@
 func TestOnlyLowerClassesAreOutranked(t *testing.T) {
 	now := time.Unix(0, 0)
 	queue := New[int](Settings{Slots: 1, Length: 10})
-	must.False(t, queue.Outranks(Internal))
-	running, _ := queue.Take(Arrival[int]{Class: Upload, Deadline: now.Add(time.Hour)}, now)
-	must.True(t, queue.Outranks(Interactive))
-	must.False(t, queue.Outranks(Upload))
-	queue.Take(Arrival[int]{Class: Batch, Deadline: now.Add(time.Hour)}, now)
-	must.True(t, queue.Outranks(Upload))
-	must.False(t, queue.Outranks(Batch))
+	must.False(t, queue.HasLowerClass(Internal))
+	running, _ := queue.Admit(Arrival[int]{Class: Upload, Deadline: now.Add(time.Hour)}, now)
+	must.True(t, queue.HasLowerClass(Interactive))
+	must.False(t, queue.HasLowerClass(Upload))
+	queue.Admit(Arrival[int]{Class: Batch, Deadline: now.Add(time.Hour)}, now)
+	must.True(t, queue.HasLowerClass(Upload))
+	must.False(t, queue.HasLowerClass(Batch))
 	queue.Clear(now)
 	queue.Done(running, now)
-	must.False(t, queue.Outranks(Internal))
+	must.False(t, queue.HasLowerClass(Internal))
 }
--- a/internal/traffic/admission/estimate.go
+++ b/internal/traffic/admission/estimate.go
@@ -105,7 +105,7 @@
 
 // firstGrant is the expected time until a slot is free and the rate limit allows a grant.
 func (q *Queue[W]) firstGrant(now time.Time) time.Duration {
-	if q.Limited(now) {
+	if q.RateLimited(now) {
 		return q.rate.wait(now)
 	}
 	return max(q.firstEnd(now), q.rate.wait(now))
--- a/internal/traffic/admission/fair_test.go
+++ b/internal/traffic/admission/fair_test.go
@@ -96,12 +96,12 @@
 		const maxCount = 40
 		queue := New[request](Settings{Slots: 1, Length: 2 * maxCount})
 		deadline := start.Add(time.Hour)
-		running, _ := queue.Take(Arrival[request]{Deadline: deadline}, start)
+		running, _ := queue.Admit(Arrival[request]{Deadline: deadline}, start)
 		count := rapid.IntRange(1, maxCount).Draw(r, "count")
 		for serial := range count {
 			sent := request{rapid.IntRange(0, 9).Draw(r, "tenant"), rapid.IntRange(0, 9).Draw(r, "route"), serial}
 			arrival := Arrival[request]{Class: ClassOfRank(sent.tenant, sent.route), Tenant: fmt.Sprint(sent.tenant), Weight: 1, Deadline: deadline, Waiter: sent}
-			ticket, decided := queue.Take(arrival, start)
+			ticket, decided := queue.Admit(arrival, start)
 			must.Eq(r, Queued, ticket.Verdict)
 			must.SliceEmpty(r, decided)
 		}
@@ -125,12 +125,12 @@
 		length := rapid.IntRange(0, 40).Draw(r, "length")
 		queue := New[Class](Settings{Slots: 1, Length: length})
 		deadline := start.Add(time.Hour)
-		queue.Take(Arrival[Class]{Deadline: deadline}, start)
+		queue.Admit(Arrival[Class]{Deadline: deadline}, start)
 		for range rapid.IntRange(1, 200).Draw(r, "count") {
 			class := ClassOfRank(rapid.IntRange(-1, 30).Draw(r, "tenant"), rapid.IntRange(-1, 30).Draw(r, "route"))
-			_, decided := queue.Take(Arrival[Class]{Class: class, Deadline: deadline, Waiter: class}, start)
+			_, decided := queue.Admit(Arrival[Class]{Class: class, Deadline: deadline, Waiter: class}, start)
 			for _, gaveWay := range decided {
-				must.Eq(r, Refused, gaveWay.Verdict)
+				must.Eq(r, Rejected, gaveWay.Verdict)
 				must.Greater(r, class, gaveWay.Waiter)
 			}
 			must.LessEq(r, length, queue.Waiting())
@@ -167,7 +167,7 @@
 	queue, running := newBusyQueue()
 	due := start.Add(10 * time.Millisecond)
 	take := func(tenant int, last time.Duration) *Ticket[string] {
-		ticket, _ := queue.Take(Arrival[string]{Class: ClassOfRank(tenant, 1), Deadline: due, Last: start.Add(last), Waiter: fmt.Sprint(tenant)}, start)
+		ticket, _ := queue.Admit(Arrival[string]{Class: ClassOfRank(tenant, 1), Deadline: due, LateDeadline: start.Add(last), Waiter: fmt.Sprint(tenant)}, start)
 		return ticket
 	}
 	must.Eq(t, Queued, take(2, 10*time.Second).Verdict)
@@ -202,13 +202,13 @@
 	queue := New[string](Settings{Slots: 1, Length: 4})
 	deadline := start.Add(time.Hour)
 	take := func(tenant string) (*Ticket[string], []*Ticket[string]) {
-		return queue.Take(Arrival[string]{Class: ClassOfRank(1, 2), Tenant: tenant, Weight: 1, Deadline: deadline, Waiter: tenant}, start)
+		return queue.Admit(Arrival[string]{Class: ClassOfRank(1, 2), Tenant: tenant, Weight: 1, Deadline: deadline, Waiter: tenant}, start)
 	}
 	for range 5 {
 		take("large")
 	}
 	another, decided := take("large")
-	must.Eq(t, Refused, another.Verdict)
+	must.Eq(t, Rejected, another.Verdict)
 	must.SliceEmpty(t, decided)
 	small, decided := take("small")
 	must.Eq(t, Queued, small.Verdict)
--- a/internal/traffic/admission/late_test.go
+++ b/internal/traffic/admission/late_test.go
@@ -13,11 +13,11 @@
 	queue := New[string](Settings{Slots: 4, Length: 128})
 	var running []*Ticket[string]
 	for range 4 {
-		known, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: start.Add(time.Hour)}, start.Add(-100*time.Millisecond))
+		known, _ := queue.Admit(Arrival[string]{Class: Batch, Deadline: start.Add(time.Hour)}, start.Add(-100*time.Millisecond))
 		queue.Done(known, start)
 	}
 	for range 4 {
-		ticket, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: start.Add(time.Hour)}, start)
+		ticket, _ := queue.Admit(Arrival[string]{Class: Batch, Deadline: start.Add(time.Hour)}, start)
 		running = append(running, ticket)
 	}
 	return queue, running
@@ -26,9 +26,9 @@
 // A request that can meet its deadline is granted before one of the late queue.
 func TestOnTimeRequestIsGrantedBeforeLateQueue(t *testing.T) {
 	queue, running := newBusyQueue()
-	late, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: start.Add(10 * time.Millisecond), Last: start.Add(time.Second), Waiter: "late"}, start)
+	late, _ := queue.Admit(Arrival[string]{Class: Batch, Deadline: start.Add(10 * time.Millisecond), LateDeadline: start.Add(time.Second), Waiter: "late"}, start)
 	must.Eq(t, Queued, late.Verdict)
-	fresh, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: start.Add(400 * time.Millisecond), Waiter: "fresh"}, start)
+	fresh, _ := queue.Admit(Arrival[string]{Class: Batch, Deadline: start.Add(400 * time.Millisecond), Waiter: "fresh"}, start)
 	must.Eq(t, Queued, fresh.Verdict)
 	now := start.Add(100 * time.Millisecond)
 	must.Eq(t, "fresh", queue.Done(running[0], now)[0].Waiter)
@@ -40,11 +40,11 @@
 func TestLateQueueRejectsRequestsItCannotServe(t *testing.T) {
 	queue, _ := newBusyQueue()
 	tooLate := start.Add(10 * time.Millisecond)
-	rejected, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: tooLate}, start)
-	must.Eq(t, Refused, rejected.Verdict)
+	rejected, _ := queue.Admit(Arrival[string]{Class: Batch, Deadline: tooLate}, start)
+	must.Eq(t, Rejected, rejected.Verdict)
 	taken := 0
 	for range 20 {
-		ticket, _ := queue.Take(Arrival[string]{Class: Batch, Deadline: tooLate, Last: start.Add(800 * time.Millisecond)}, start)
+		ticket, _ := queue.Admit(Arrival[string]{Class: Batch, Deadline: tooLate, LateDeadline: start.Add(800 * time.Millisecond)}, start)
 		if ticket.Verdict == Queued {
 			taken++
 		}
@@ -83,9 +83,9 @@
 			arrivals++
 			arrival := Arrival[int]{Class: Batch, Deadline: now.Add(objective)}
 			if arrivals%3 == 0 { // cannot meet its deadline
-				arrival.Deadline, arrival.Last = now.Add(run), now.Add(last)
+				arrival.Deadline, arrival.LateDeadline = now.Add(run), now.Add(last)
 			}
-			ticket, _ := queue.Take(arrival, now)
+			ticket, _ := queue.Admit(arrival, now)
 			decided = append(decided, ticket)
 			if ticket.Verdict == Queued {
 				waiting = append(waiting, ticket)
--- a/internal/traffic/admission/link.go
+++ b/internal/traffic/admission/link.go
@@ -40,9 +40,9 @@
 	return time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second))
 }
 
-// Book schedules the next transfer and returns how long to wait before the body is
+// Schedule schedules the next transfer and returns how long to wait before the body is
 // requested.
-func (l *Link) Book(bytes int64, now time.Time) time.Duration {
+func (l *Link) Schedule(bytes int64, now time.Time) time.Duration {
 	wait := l.Wait(now)
 	if l.free.Before(now) {
 		l.free = now
@@ -51,5 +51,5 @@
 	return wait
 }
 
-// Return releases the scheduled time of a body that was not requested.
-func (l *Link) Return(bytes int64) { l.free = l.free.Add(-l.Transfer(bytes)) }
+// Release releases the scheduled time of a body that was not requested.
+func (l *Link) Release(bytes int64) { l.free = l.free.Add(-l.Transfer(bytes)) }
--- a/internal/traffic/admission/link_test.go
+++ b/internal/traffic/admission/link_test.go
@@ -19,7 +19,7 @@
 		for range seconds * 100 {
 			now = now.Add(10 * time.Millisecond)
 			if link.Wait(now) <= wait {
-				link.Book(bodyLength, now)
+				link.Schedule(bodyLength, now)
 				taken++
 			}
 		}
--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -68,33 +68,33 @@
 	return time.Duration(float64(time.Second) / float64(r.limiter.Limit()))
 }
 
-// Limit limits grants to a rate per second, and returns the tickets that were granted or
+// SetRateLimit limits grants to a rate per second, and returns the tickets that were granted or
 // rejected as a result: queued requests that would now be granted too late are rejected.
-func (q *Queue[W]) Limit(perSecond float64, now time.Time) []*Ticket[W] {
+func (q *Queue[W]) SetRateLimit(perSecond float64, now time.Time) []*Ticket[W] {
 	q.rate.set(perSecond, now)
 	return append(q.fill(now), q.shed(now)...)
 }
 
-// Unlimit removes the rate limit and returns the tickets that were granted or rejected as a
+// RemoveRateLimit removes the rate limit and returns the tickets that were granted or rejected as a
 // result.
-func (q *Queue[W]) Unlimit(now time.Time) []*Ticket[W] {
+func (q *Queue[W]) RemoveRateLimit(now time.Time) []*Ticket[W] {
 	q.rate = grantRate{}
 	return q.fill(now)
 }
 
-// Limited reports whether a slot is free but the rate limit delays a request that arrives
+// RateLimited reports whether a slot is free but the rate limit delays a request that arrives
 // now.
-func (q *Queue[W]) Limited(now time.Time) bool {
+func (q *Queue[W]) RateLimited(now time.Time) bool {
 	return q.running < q.settings.Slots && q.rate.wait(now) > 0
 }
 
-// Interval is the time between two grants under the rate limit, 0 without one.
-func (q *Queue[W]) Interval() time.Duration { return q.rate.interval() }
+// GrantInterval is the time between two grants under the rate limit, 0 without one.
+func (q *Queue[W]) GrantInterval() time.Duration { return q.rate.interval() }
 
-// NextTurn is the time after which Fill must be called: when the rate limit allows the next
+// NextGrantWait is the time after which Fill must be called: when the rate limit allows the next
 // grant to a queued request while a slot is free. It is 0 if no request is delayed by the
 // rate limit.
-func (q *Queue[W]) NextTurn(now time.Time) time.Duration {
+func (q *Queue[W]) NextGrantWait(now time.Time) time.Duration {
 	if q.length == 0 || q.running >= q.settings.Slots {
 		return 0
 	}
@@ -126,7 +126,7 @@
 	for _, queue := range q.classQueues {
 		rejectIf(queue.waiting, func(ticket *Ticket[W]) bool {
 			wait := first + q.grantTime(before)
-			return now.Add(wait).After(ticket.GiveUp) || !q.meetsDeadlineAfter(ticket, wait, now)
+			return now.Add(wait).After(ticket.GrantBy) || !q.meetsDeadlineAfter(ticket, wait, now)
 		})
 	}
 	before = backlog{}
--- a/internal/traffic/admission/rate_test.go
+++ b/internal/traffic/admission/rate_test.go
@@ -54,7 +54,7 @@
 		if len(w.ends) > 0 && w.ends[0].at.Before(next) {
 			next = w.ends[0].at
 		}
-		wait := w.queue.NextTurn(w.now)
+		wait := w.queue.NextGrantWait(w.now)
 		if at := w.now.Add(wait); wait > 0 && at.Before(next) {
 			next = at
 		}
@@ -71,7 +71,7 @@
 
 func (w *limitedWorker) decide(tickets []*Ticket[int]) {
 	for _, ticket := range tickets {
-		if ticket.Verdict == Refused {
+		if ticket.Verdict == Rejected {
 			w.rejected++
 			continue
 		}
@@ -115,7 +115,7 @@
 		for worker.now.Before(start.Add(12 * time.Second)) {
 			if !limited && !worker.now.Before(limitAt) {
 				limited = true
-				worker.decide(worker.queue.Limit(limit, worker.now))
+				worker.decide(worker.queue.SetRateLimit(limit, worker.now))
 				worker.granted = nil
 			}
 			worker.arrive(Interactive, time.Second)
@@ -139,7 +139,7 @@
 	for limit, share := range map[float64]float64{2: 0.55, 6.7: 0.78, 20.3: 0.9, 60: 0.97} {
 		random := rand.New(rand.NewPCG(1, uint64(limit)))
 		worker := newLimitedWorker(6, 60*time.Millisecond)
-		worker.decide(worker.queue.Limit(limit, start))
+		worker.decide(worker.queue.SetRateLimit(limit, start))
 		const length = 60
 		urgent := 0
 		for worker.now.Before(start.Add(length * time.Second)) {
@@ -165,7 +165,7 @@
 		worker.arrive(Interactive, 5*time.Second)
 	}
 	must.Eq(t, 9, worker.queue.Waiting())
-	worker.decide(worker.queue.Limit(1, worker.now))
+	worker.decide(worker.queue.SetRateLimit(1, worker.now))
 	must.Eq(t, 5, worker.rejected) // the first grant comes after a second, the fifth at the deadline
 	worker.advance(start.Add(6 * time.Second))
 	must.Eq(t, 5, len(worker.granted))
@@ -175,14 +175,14 @@
 // When the rate limit is removed, queued requests are granted as slots are free.
 func TestRemovedRateLimitGrantsQueuedRequests(t *testing.T) {
 	worker := newLimitedWorker(6, 50*time.Millisecond)
-	worker.decide(worker.queue.Limit(0.5, worker.now))
+	worker.decide(worker.queue.SetRateLimit(0.5, worker.now))
 	for range 3 {
 		worker.arrive(Interactive, 20*time.Second)
 	}
 	must.Eq(t, 0, len(worker.granted))
-	must.True(t, worker.queue.Limited(worker.now))
-	worker.decide(worker.queue.Unlimit(worker.now))
+	must.True(t, worker.queue.RateLimited(worker.now))
+	worker.decide(worker.queue.RemoveRateLimit(worker.now))
 	must.Eq(t, 3, len(worker.granted))
-	must.False(t, worker.queue.Limited(worker.now))
+	must.False(t, worker.queue.RateLimited(worker.now))
 	must.True(t, worker.queue.Free(worker.now))
 }
--- a/internal/traffic/admission/rejects.go
+++ b/internal/traffic/admission/rejects.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Rejects measures the share of requests that a worker rejects, over an exponentially
+// RejectionRate measures the share of requests that a worker rejects, over an exponentially
 // decaying window. The caller passes the time. It is not safe for concurrent use.
-type Rejects struct {
+type RejectionRate struct {
 	accepted, rejected float64 // exponentially decayed counts
 	updated            time.Time
 }
@@ -26,8 +26,8 @@
 	minRejectShare = 0.05
 )
 
-// Note records a request and whether the worker rejected it.
-func (r *Rejects) Note(rejected bool, now time.Time) {
+// Record records a request and whether the worker rejected it.
+func (r *RejectionRate) Record(rejected bool, now time.Time) {
 	r.decay(now)
 	if rejected {
 		r.rejected++
@@ -38,7 +38,7 @@
 
 // Share returns the share of rejected requests, 0 to 1; shares below minRejectShare are
 // returned as 0.
-func (r *Rejects) Share(now time.Time) float64 {
+func (r *RejectionRate) Share(now time.Time) float64 {
 	if r.rejected == 0 {
 		return 0
 	}
@@ -50,7 +50,7 @@
 	return share
 }
 
-func (r *Rejects) decay(now time.Time) {
+func (r *RejectionRate) decay(now time.Time) {
 	part := math.Exp(-float64(now.Sub(r.updated)) / float64(rejectsDecay))
 	r.accepted *= part
 	r.rejected *= part
--- a/internal/traffic/admission/rejects_test.go
+++ b/internal/traffic/admission/rejects_test.go
@@ -10,12 +10,12 @@
 // The share rises soon after a worker begins to reject half of its requests and returns to
 // 0 soon after it has stopped.
 func TestRejectShareFollowsRecentRejections(t *testing.T) {
-	var rejects Rejects
+	var rejects RejectionRate
 	now := time.Unix(1_000_000, 0)
 	run := func(requests int, rejected func(int) bool) float64 {
 		for index := range requests {
 			now = now.Add(10 * time.Millisecond)
-			rejects.Note(rejected(index), now)
+			rejects.Record(rejected(index), now)
 		}
 		return rejects.Share(now)
 	}
@@ -30,8 +30,8 @@
 
 // Because of the prior, a single rejection gives a share of 0.25, not 1.
 func TestSingleRejectionIsWeightedByPrior(t *testing.T) {
-	var rejects Rejects
+	var rejects RejectionRate
 	now := time.Unix(1_000_000, 0)
-	rejects.Note(true, now)
+	rejects.Record(true, now)
 	must.Eq(t, 0.25, rejects.Share(now))
 }
--- a/internal/traffic/admission/wait_test.go
+++ b/internal/traffic/admission/wait_test.go
@@ -38,7 +38,7 @@
 			return true
 		})
 		if now.Sub(start)%apart == 0 {
-			arrived, others := queue.Take(Arrival[time.Time]{Class: Batch, Deadline: now.Add(objective), Waiter: now}, now)
+			arrived, others := queue.Admit(Arrival[time.Time]{Class: Batch, Deadline: now.Add(objective), Waiter: now}, now)
 			decided = append(append(decided, others...), arrived)
 		}
 		for _, ticket := range decided {
--- a/internal/traffic/admit.go
+++ b/internal/traffic/admit.go
@@ -25,10 +25,10 @@
 	cold        coldstart.Guard // of the local worker
 	recorded    snapshot.Local  // the latest catalog record of the local worker
 	warmWaits   int             // requests that wait until the worker is warm
-	rejects     admission.Rejects
-	report      workerReport     // what the local worker has reported about itself
-	closedUntil closing.Bookings // by urgency: until when callers' nodes are asked to send nothing, while the worker reports a limit
-	fillTimer   *time.Timer      // fills the queue at a set time, without a request completing; nil: not used yet
+	rejects     admission.RejectionRate
+	report      workerReport   // what the local worker has reported about itself
+	closedUntil closing.Pauses // by urgency: until when callers' nodes are asked to send nothing, while the worker reports a limit
+	fillTimer   *time.Timer    // fills the queue at a set time, without a request completing; nil: not used yet
 }
 
 func newAdmitter(service string, limits Limits) *admitter {
@@ -52,10 +52,10 @@
 		if x.granted != nil {
 			a.wait(x, mine)
 		}
-		if mine.Verdict == admission.Refused {
+		if mine.Verdict == admission.Rejected {
 			return a.refusal(x, mine)
 		}
-		defer a.done(mine)
+		defer a.release(mine)
 		if x.context.Err() != nil {
 			return refuse(causeDeadline, time.Second, "send it again with more time")
 		}
@@ -69,7 +69,7 @@
 	now := time.Now()
 	a.resetOnNewInstance(x.instance, now)
 	a.adoptLimit(x, now)
-	if refused := a.noWait(x); refused != nil {
+	if refused := a.refuseUnlessQueued(x); refused != nil {
 		return nil, refused
 	}
 	mine, decided := a.enter(x, now)
@@ -87,7 +87,7 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	now := time.Now()
-	if a.queue.Limited(now) {
+	if a.queue.RateLimited(now) {
 		return a.refuseLimited(x, mine.RetryAfter, now)
 	}
 	return refuse(causeQueue, mine.RetryAfter, "send it again later, the worker is busy")
@@ -109,16 +109,16 @@
 	if x.tenant.name != "" {
 		arrival.Tenant, arrival.Weight = x.tenant.name, x.view.TenantWeight(x.tenant.name)
 	}
-	if x.class.returned {
-		arrival.Last = x.deadline
+	if x.class.callerRetried {
+		arrival.LateDeadline = x.deadline
 	}
-	if !x.class.patient && x.class.objective > 0 && !a.queue.Outranks(rank) {
+	if !x.class.waitsForDeadline && x.class.objective > 0 && !a.queue.HasLowerClass(rank) {
 		arrival.Deadline = earlier(x.deadline, x.started.Add(x.class.objective))
 	}
-	if x.class.unlikely {
+	if x.class.callsFailedBefore {
 		arrival.Deadline = now.Add(-1) // to the queue of late requests, so that requests more likely to succeed run first
 	}
-	return a.queue.Take(arrival, now)
+	return a.queue.Admit(arrival, now)
 }
 
 // classOf returns the admission class of a request. The priority of its tenant is compared
@@ -141,7 +141,7 @@
 // wait blocks until the ticket is granted or refused, or until it is cancelled because its
 // wait or the request has expired.
 func (a *admitter) wait(x *exchange, mine *ticket) {
-	timer := time.NewTimer(time.Until(mine.GiveUp))
+	timer := time.NewTimer(time.Until(mine.GrantBy))
 	defer timer.Stop()
 	select {
 	case <-x.granted:
@@ -154,7 +154,7 @@
 	a.queue.Cancel(mine, time.Now())
 }
 
-func (a *admitter) done(mine *ticket) {
+func (a *admitter) release(mine *ticket) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	delete(a.holders, mine.Waiter)
@@ -221,8 +221,8 @@
 	rank := a.classOf(x)
 	load.Wait, load.Run = a.queue.Forecast(rank, x.route.Name, now)
 	load.Link = a.linkWait(x, now)
-	load.Closed = max(a.cold.Closed(x.class.urgency(), now), a.closedUntil.Left(x.class.urgency(), now))
-	load.Rejects = a.rejects.Share(now)
+	load.PausedFor = max(a.cold.PausedFor(x.class.urgency(), now), a.closedUntil.Remaining(x.class.urgency(), now))
+	load.RejectShare = a.rejects.Share(now)
 	return load
 }
 
@@ -237,7 +237,7 @@
 
 // sendAck sends an acknowledgement (102 Processing) if the caller's node expects one.
 func (x *exchange) sendAck() {
-	if x.signal {
+	if x.expectsAck {
 		x.writer.WriteHeader(http.StatusProcessing)
 	}
 }
--- a/internal/traffic/alternative.go
+++ b/internal/traffic/alternative.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// elsewhereHeader on an attempt between nodes states that the caller's node has another
+// alternativeHeader on an attempt between nodes states that the caller's node has another
 // endpoint that seems to be free: the node of a full worker then refuses the attempt
 // immediately instead of queueing it. On a refusal the header states that this was the reason.
 // Without it, on the last attempt, the request is queued.
-const elsewhereHeader = "Sliphead-Elsewhere"
+const alternativeHeader = "Sliphead-Elsewhere"
 
-// mostMoves is the maximum number of times that a request goes to another endpoint because one
+// maxReroutes is the maximum number of times that a request goes to another endpoint because one
 // was full. This costs neither the retry budget of the call tree nor that of the node, since
 // nothing ran. In overload a request is thus sent three times at most.
-const mostMoves = 2
+const maxReroutes = 2
 
 // markFull gives a refusal by the node of a full worker its own cause.
 func markFull(refused *result, response *http.Response) *result {
-	if refused != nil && hasHeader(response.Header, elsewhereHeader) {
+	if refused != nil && hasHeader(response.Header, alternativeHeader) {
 		refused.cause = causeFull
 	}
 	return refused
@@ -50,22 +50,22 @@
 	return wait <= x.rerouteTime
 }
 
-// noWait returns the refusal of a request that must not queue at a full worker, nil if it may
+// refuseUnlessQueued returns the refusal of a request that must not queue at a full worker, nil if it may
 // be granted a slot or queued.
-func (a *admitter) noWait(x *exchange) *result {
+func (a *admitter) refuseUnlessQueued(x *exchange) *result {
 	now := time.Now()
 	if a.queue.Free(now) {
 		return nil
 	}
 	var refused result
 	switch {
-	case x.elsewhere && a.isShortWait(x):
+	case x.hasAlternative && a.isShortWait(x):
 		return nil
-	case x.elsewhere && a.queue.Limited(now):
+	case x.hasAlternative && a.queue.RateLimited(now):
 		refused = a.refuseLimited(x, 0, now)
-	case x.elsewhere:
+	case x.hasAlternative:
 		if !x.fromNode {
-			newFields(x.writer.Header()).set(elsewhereHeader, "1")
+			newFields(x.writer.Header()).set(alternativeHeader, "1")
 		}
 		refused = refuse(causeFull, 0, "send it to another worker, this one is full")
 	case a.heldByCallers(x):
--- a/internal/traffic/answer.go
+++ b/internal/traffic/answer.go
@@ -43,7 +43,7 @@
 		failure := unknown(http.StatusBadGateway, causeUnframed, "let the worker send Content-Length or chunks, so that a short answer can be told from a whole one")
 		return nil, &failure
 	}
-	if response.ContentLength < 0 || response.ContentLength > x.smallAnswer || x.request.Method == http.MethodHead {
+	if response.ContentLength < 0 || response.ContentLength > x.smallResponse || x.request.Method == http.MethodHead {
 		return &answer{response: response}, nil
 	}
 	whole := make([]byte, response.ContentLength)
--- a/internal/traffic/at_most_once_test.go
+++ b/internal/traffic/at_most_once_test.go
@@ -43,9 +43,9 @@
 	case !stored.finished:
 		return claim.Decision{Verdict: claim.VerdictBusy}
 	case stored.answer == nil:
-		return claim.Decision{Verdict: claim.VerdictRan}
+		return claim.Decision{Verdict: claim.VerdictAlreadyRan}
 	default:
-		return claim.Decision{Verdict: claim.VerdictAnswered, Answer: stored.answer}
+		return claim.Decision{Verdict: claim.VerdictAnswered, Response: stored.answer}
 	}
 }
 
@@ -160,7 +160,7 @@
 	defer near.Close()
 	defer far.Close()
 	conn := &sealedConn{Conn: near}
-	sending := newSending()
+	sending := newWriteTracker()
 	sending.gotConn(httptrace.GotConnInfo{Conn: conn})
 	must.True(t, sending.stale())
 	go func() { _, _ = far.Write([]byte("H")) }()
--- a/internal/traffic/balance/acceptance.go
+++ b/internal/traffic/balance/acceptance.go
@@ -83,8 +83,8 @@
 	if endpoint.Zone == b.settings.Zone {
 		return false
 	}
-	if need.Near || need.Refused && !b.mayAccept(now, endpoint.Zone, need.Route) {
+	if need.StayInZone || need.Rejected && !b.mayAccept(now, endpoint.Zone, need.Route) {
 		return true
 	}
-	return b.isRemote(endpoint) && (need.Refused && !b.remoteMayAccept(now, endpoint, need.Route) || b.regionIsBackedOff(now, endpoint) || b.exceedsNetworkTime(need, endpoint))
+	return b.isRemote(endpoint) && (need.Rejected && !b.remoteMayAccept(now, endpoint, need.Route) || b.regionIsBackedOff(now, endpoint) || b.exceedsNetworkTime(need, endpoint))
 }
--- a/internal/traffic/balance/balance.go
+++ b/internal/traffic/balance/balance.go
@@ -20,14 +20,14 @@
 
 // Settings configure a Balancer.
 type Settings struct {
-	Zone, Region   string        // of this node
-	LinkMbps       float64       // capacity of the machine's link in Mbit/s; 0: unknown
-	RegionBytes    float64       // price of a byte that leaves the region, relative to one that leaves only the zone; below 1 counts as 1
-	SlowStart      time.Duration // time over which the share of a cold worker rises to its full value
-	BackoffFirst   time.Duration // backoff after the first failure in a row, doubled with each further one
-	BackoffMax     time.Duration // maximum backoff
-	ReportExpiry   time.Duration // time after which a load report is ignored
-	EndpointExpiry time.Duration // time after which the state of an unused endpoint is evicted
+	Zone, Region     string        // of this node
+	LinkMbps         float64       // capacity of the machine's link in Mbit/s; 0: unknown
+	RemoteByteFactor float64       // price of a byte that leaves the region, relative to one that leaves only the zone; below 1 counts as 1
+	SlowStart        time.Duration // time over which the share of a cold worker rises to its full value
+	BackoffFirst     time.Duration // backoff after the first failure in a row, doubled with each further one
+	BackoffMax       time.Duration // maximum backoff
+	ReportExpiry     time.Duration // time after which a load report is ignored
+	EndpointExpiry   time.Duration // time after which the state of an unused endpoint is evicted
 }
 
 // DefaultSettings returns the settings of a node in the given zone.
@@ -48,8 +48,8 @@
 	Busy, Slots, Queued int
 	Wait, Run           time.Duration
 	Link                time.Duration // wait before the node requests a body, because its link is busy
-	Closed              time.Duration // time for which this node must not send such requests to the worker
-	Rejects             float64       // share of the requests reaching the worker that it rejects, 0 to 1
+	PausedFor           time.Duration // time for which this node must not send such requests to the worker
+	RejectShare         float64       // share of the requests reaching the worker that it rejects, 0 to 1
 }
 
 // Observation is the outcome of one request.
@@ -57,12 +57,12 @@
 	Failed bool
 	// Unreachable is set if the endpoint's node itself did not respond.
 	Unreachable bool
-	// Refused is set if the endpoint's node rejected the request for lack of capacity.
-	Refused   bool
+	// Rejected is set if the endpoint's node rejected the request for lack of capacity.
+	Rejected  bool
 	Latency   time.Duration // 0: not recorded
 	Kilobytes float64       // size of the response with its header; 0: not recorded
 	Load      Load
-	Loaded    bool            // whether Load was reported
+	HasLoad   bool            // whether Load was reported
 	Urgency   closing.Urgency // of the request
 	RoundTrip time.Duration   // of a message to the endpoint's node and the reply, as observed with this request; 0: not observed
 }
@@ -116,9 +116,9 @@
 	return chosen
 }
 
-// Another reports whether the last Pick had an alternative to the picked endpoint: one that
+// HasAlternative reports whether the last Pick had an alternative to the picked endpoint: one that
 // was untried, not backed off and had a free slot.
-func (b *Balancer) Another(picked int) bool {
+func (b *Balancer) HasAlternative(picked int) bool {
 	for _, candidates := range b.usable {
 		for _, index := range candidates {
 			if index != picked {
--- a/internal/traffic/balance/balance_test.go
+++ b/internal/traffic/balance/balance_test.go
@@ -38,10 +38,10 @@
 	for range 6 {
 		must.Eq(t, 0, b.Pick(start, endpoints, nil))
 	}
-	must.True(t, b.Another(0))
-	b.Ended(start, "", endpoints[0], Observation{Loaded: true, Load: Load{Busy: 6, Slots: 6}})
+	must.True(t, b.HasAlternative(0))
+	b.Ended(start, "", endpoints[0], Observation{HasLoad: true, Load: Load{Busy: 6, Slots: 6}})
 	must.Eq(t, 1, b.Pick(start.Add(10*time.Millisecond), endpoints, nil))
-	must.False(t, b.Another(1))
+	must.False(t, b.HasAlternative(1))
 	must.Eq(t, 0, b.Pick(start.Add(time.Second), endpoints, nil))
 }
 
@@ -147,9 +147,9 @@
 func TestObservedLatencyOutweighsReportedLoad(t *testing.T) {
 	counts := share(newBalancer(), three(), 1000, func(worker string) Observation {
 		if worker == "b" {
-			return Observation{Latency: 10 * time.Millisecond, Loaded: true, Load: Load{Busy: 0, Slots: 6}}
+			return Observation{Latency: 10 * time.Millisecond, HasLoad: true, Load: Load{Busy: 0, Slots: 6}}
 		}
-		return Observation{Latency: time.Millisecond, Loaded: true, Load: Load{Busy: 1, Slots: 6}}
+		return Observation{Latency: time.Millisecond, HasLoad: true, Load: Load{Busy: 1, Slots: 6}}
 	})
 	must.Less(t, 150, counts["b"])
 }
@@ -183,7 +183,7 @@
 	for index, link := range []time.Duration{400 * time.Millisecond, 0} {
 		reported := Load{Slots: 6, Run: 100 * time.Millisecond, Link: link}
 		b.Cheapest(start, need, both[index:index+1], nil)
-		b.Ended(start, "upload", both[index], Observation{Loaded: true, Load: reported})
+		b.Ended(start, "upload", both[index], Observation{HasLoad: true, Load: reported})
 	}
 	for range 5 {
 		choice := b.Cheapest(start.Add(50*time.Millisecond), need, both, nil)
@@ -211,7 +211,7 @@
 		need := Need{Route: "upload", Objective: time.Second, Deadline: 2 * time.Second, Kilobytes: kilobytes}
 		for index, run := range []time.Duration{900 * time.Millisecond, 200 * time.Millisecond} {
 			b.Cheapest(start, need, both[index:index+1], nil)
-			b.Ended(start, "upload", both[index], Observation{Loaded: true, Load: Load{Slots: 6, Run: run}})
+			b.Ended(start, "upload", both[index], Observation{HasLoad: true, Load: Load{Slots: 6, Run: run}})
 		}
 		return b.Cheapest(start, need, both, nil).Index
 	}
--- a/internal/traffic/balance/credit_test.go
+++ b/internal/traffic/balance/credit_test.go
@@ -29,7 +29,7 @@
 		b := newBalancer()
 		endpoints := []snapshot.Endpoint{near, far}
 		for index, run := range []time.Duration{mean, 100 * time.Millisecond} {
-			b.Ended(start, "read", endpoints[index], Observation{Loaded: true, Load: Load{Slots: 6, Run: run}})
+			b.Ended(start, "read", endpoints[index], Observation{HasLoad: true, Load: Load{Slots: 6, Run: run}})
 		}
 		return b.Cheapest(start, need, endpoints, nil).Index
 	}
@@ -43,7 +43,7 @@
 	choose := func(kilobytes float64) int {
 		b := newBalancer()
 		for index, mean := range []time.Duration{300 * time.Millisecond, 100 * time.Millisecond} {
-			b.Ended(start, "save", endpoints[index], Observation{Loaded: true, Load: Load{Slots: 6, Run: mean}})
+			b.Ended(start, "save", endpoints[index], Observation{HasLoad: true, Load: Load{Slots: 6, Run: mean}})
 		}
 		need := Need{Route: "save", Objective: 400 * time.Millisecond, Deadline: time.Second, Kilobytes: kilobytes}
 		return b.Cheapest(start, need, endpoints, nil).Index
@@ -59,11 +59,11 @@
 	endpoints := []snapshot.Endpoint{endpoint("near", "z1", "r1"), endpoint("far", "z2", "r1")}
 	need := Need{Route: "read", Objective: 400 * time.Millisecond, Deadline: time.Second}
 	reported := Load{Slots: 6, Run: 350 * time.Millisecond}
-	b.Ended(start, "read", endpoints[0], Observation{Latency: 350 * time.Millisecond, Loaded: true, Load: reported})
+	b.Ended(start, "read", endpoints[0], Observation{Latency: 350 * time.Millisecond, HasLoad: true, Load: reported})
 	must.Eq(t, 1, b.Cheapest(start, need, endpoints, nil).Index)
 	must.Eq(t, 0, b.Cheapest(start, need, endpoints, nil).Index)
 	slow := Load{Slots: 6, Run: 700 * time.Millisecond}
-	b.Ended(start, "read", endpoints[1], Observation{Latency: 700 * time.Millisecond, Loaded: true, Load: slow})
+	b.Ended(start, "read", endpoints[1], Observation{Latency: 700 * time.Millisecond, HasLoad: true, Load: slow})
 	must.Eq(t, 0, b.Cheapest(start, need, endpoints, nil).Index)
 }
 
--- a/internal/traffic/balance/distance.go
+++ b/internal/traffic/balance/distance.go
@@ -85,23 +85,23 @@
 	return 0, false
 }
 
-// IsFar reports whether an endpoint is in another region than a node of the given zone and
+// IsRemote reports whether an endpoint is in another region than a node of the given zone and
 // region. An endpoint without a region counts as near; its distance is measured all the
 // same.
-func IsFar(zone, region string, endpoint *snapshot.Endpoint) bool {
+func IsRemote(zone, region string, endpoint *snapshot.Endpoint) bool {
 	return endpoint.Zone != zone && endpoint.Region != "" && endpoint.Region != region
 }
 
 // isRemote reports whether an endpoint is in another region.
 func (b *Balancer) isRemote(endpoint *snapshot.Endpoint) bool {
-	return IsFar(b.settings.Zone, b.settings.Region, endpoint)
+	return IsRemote(b.settings.Zone, b.settings.Region, endpoint)
 }
 
 // networkTime is the time that a request and its response spend on the network. A body that
 // is sent only after the node has requested it needs a second round trip.
 func (b *Balancer) networkTime(need Need, endpoint *snapshot.Endpoint) time.Duration {
 	took, _ := b.RoundTrip(endpoint)
-	return time.Duration(max(1, need.Trips)) * took
+	return time.Duration(max(1, need.RoundTrips)) * took
 }
 
 // networkTimeDivisor bounds the network time to a part of the time left. An unresponsive
--- a/internal/traffic/balance/distance_test.go
+++ b/internal/traffic/balance/distance_test.go
@@ -58,8 +58,8 @@
 	near := endpoint("near", "z1", "r1")
 	endpoints := []snapshot.Endpoint{near, far}
 	runs := func(nearRun, farRun time.Duration) {
-		b.Ended(start, "probe", near, Observation{Loaded: true, Load: Load{Slots: 6, Run: nearRun}})
-		b.Ended(start, "probe", far, Observation{Loaded: true, Load: Load{Slots: 6, Run: farRun}})
+		b.Ended(start, "probe", near, Observation{HasLoad: true, Load: Load{Slots: 6, Run: nearRun}})
+		b.Ended(start, "probe", far, Observation{HasLoad: true, Load: Load{Slots: 6, Run: farRun}})
 	}
 	call := Need{Route: "probe", Objective: 150 * time.Millisecond, Deadline: 500 * time.Millisecond, Kilobytes: 0.4}
 	runs(70*time.Millisecond, 40*time.Millisecond)
@@ -67,7 +67,7 @@
 	runs(400*time.Millisecond, 40*time.Millisecond)
 	must.Eq(t, 1, b.Cheapest(start, call, endpoints, nil).Index)
 	must.Eq(t, remoteRoundTrip, b.estimate(call, &far, start).wait)
-	call.Trips = 2
+	call.RoundTrips = 2
 	must.Eq(t, 2*remoteRoundTrip, b.estimate(call, &far, start).wait)
 }
 
@@ -82,7 +82,7 @@
 	must.Eq(t, -1, b.Cheapest(start, need, []snapshot.Endpoint{far}, nil).Index)
 	need.Deadline = 3 * remoteRoundTrip
 	must.Eq(t, 0, b.Cheapest(start, need, []snapshot.Endpoint{far}, nil).Index)
-	need.Trips = 3
+	need.RoundTrips = 3
 	must.Eq(t, -1, b.Cheapest(start, need, []snapshot.Endpoint{far}, nil).Index)
 }
 
@@ -90,15 +90,15 @@
 // while a zone there serves it in time, and leaves it rather than be late.
 func TestOwnRegionIsPreferredWhileInTime(t *testing.T) {
 	settings := DefaultSettings("z1", "r1")
-	settings.RegionBytes = 4
+	settings.RemoteByteFactor = 4
 	b, far := newDistantBalancer()
 	b.settings = settings
 	mid := endpoint("mid", "z2", "r1")
 	endpoints := []snapshot.Endpoint{far, mid}
 	need := Need{Route: "probe", Objective: 400 * time.Millisecond, Deadline: time.Second, Kilobytes: 0.4}
 	report := func(run time.Duration) {
-		b.Ended(start, "probe", mid, Observation{Loaded: true, Load: Load{Slots: 6, Run: run}})
-		b.Ended(start, "probe", far, Observation{Loaded: true, Load: Load{Slots: 6, Run: 50 * time.Millisecond}})
+		b.Ended(start, "probe", mid, Observation{HasLoad: true, Load: Load{Slots: 6, Run: run}})
+		b.Ended(start, "probe", far, Observation{HasLoad: true, Load: Load{Slots: 6, Run: 50 * time.Millisecond}})
 	}
 	report(150 * time.Millisecond)
 	for range 4 {
@@ -114,15 +114,15 @@
 func TestFullRegionsGetFewerOffersThanFullZones(t *testing.T) {
 	offered := func(region string) int {
 		b := newBalancer()
-		b.settings.RegionBytes = 4
+		b.settings.RemoteByteFactor = 4
 		endpoints := []snapshot.Endpoint{endpoint("a", "z2", region), endpoint("b", "z3", region), endpoint("c", "z4", region)}
-		need := Need{Route: "read", Objective: time.Second, Refused: true}
+		need := Need{Route: "read", Objective: time.Second, Rejected: true}
 		count := 0
 		for request := range 100 { // in two seconds
 			now := start.Add(time.Duration(request) * 20 * time.Millisecond)
 			if chosen := b.Cheapest(now, need, endpoints, nil).Index; chosen >= 0 {
 				count++
-				b.Ended(now, "read", endpoints[chosen], Observation{Refused: true})
+				b.Ended(now, "read", endpoints[chosen], Observation{Rejected: true})
 			}
 		}
 		return count
--- a/internal/traffic/balance/forecast.go
+++ b/internal/traffic/balance/forecast.go
@@ -11,15 +11,15 @@
 
 // Need describes a request to the balancer.
 type Need struct {
-	Route     string
-	Objective time.Duration // within which a response has its full value; 0: none
-	Deadline  time.Duration // after which a response is of no use; 0: none
-	Kilobytes float64       // of the request
-	Trips     int           // round trips until the response has arrived: 2 if the body is sent on request; 0 counts as 1
-	Refused   bool          // whether an endpoint has rejected it for lack of capacity
-	Near      bool          // whether it must stay in the own zone
-	Urgency   closing.Urgency
-	Last      bool // whether its caller will not retry: endpoints that asked for no more requests are used when no other is left
+	Route        string
+	Objective    time.Duration // within which a response has its full value; 0: none
+	Deadline     time.Duration // after which a response is of no use; 0: none
+	Kilobytes    float64       // of the request
+	RoundTrips   int           // round trips until the response has arrived: 2 if the body is sent on request; 0 counts as 1
+	Rejected     bool          // whether an endpoint has rejected it for lack of capacity
+	StayInZone   bool          // whether it must stay in the own zone
+	Urgency      closing.Urgency
+	FinalAttempt bool // whether its caller will not retry: endpoints that asked for no more requests are used when no other is left
 }
 
 // The parts of an endpoint's price, relative to the value of a request (1).
@@ -52,19 +52,19 @@
 
 // Choice is the result of Cheapest.
 type Choice struct {
-	Index   int  // of the endpoint, -1 if there is none
-	Another bool // whether an alternative endpoint with a free slot would cost less than waiting at this one
-	// Patient is set if the response is expected after the objective there, but in time
+	Index          int  // of the endpoint, -1 if there is none
+	HasAlternative bool // whether an alternative endpoint with a free slot would cost less than waiting at this one
+	// LateHere is set if the response is expected after the objective there, but in time
 	// at an alternative endpoint with a higher price.
-	Patient bool
-	// Opens is the time until the first endpoint that asked for no more requests takes
+	LateHere bool
+	// ResumesAfter is the time until the first endpoint that asked for no more requests takes
 	// them again, 0 if none has asked.
-	Opens time.Duration
+	ResumesAfter time.Duration
 }
 
 // Cheapest returns the endpoint with the lowest expected cost and counts the request as in
 // flight there until Ended. It skips excluded indices, endpoints that asked for no more
-// requests (unless need.Last), unresponsive nodes except for an occasional trial, regions
+// requests (unless need.FinalAttempt), unresponsive nodes except for an occasional trial, regions
 // that are unreachable, and, after a rejection, other zones that are unlikely to have
 // capacity.
 func (b *Balancer) Cheapest(now time.Time, need Need, endpoints []snapshot.Endpoint, excluded []int) Choice {
@@ -84,7 +84,7 @@
 		if paused > 0 {
 			choice.notePaused(paused)
 		}
-		if paused > 0 && !need.Last {
+		if paused > 0 && !need.FinalAttempt {
 			continue
 		}
 		price, free := b.price(now, need, &endpoints[index], expected)
@@ -105,8 +105,8 @@
 	if choice.Index < 0 {
 		return choice
 	}
-	choice.Patient = inTimeElsewhere && !chosen.inTime(need)
-	choice.Another = second < best+b.waitPrice(need, &endpoints[choice.Index], chosen)
+	choice.LateHere = inTimeElsewhere && !chosen.inTime(need)
+	choice.HasAlternative = second < best+b.waitPrice(need, &endpoints[choice.Index], chosen)
 	chosen.state.inFlight++
 	chosen.state.used = now
 	b.recordAttempt(&endpoints[choice.Index])
@@ -116,8 +116,8 @@
 
 // notePaused records that an endpoint takes no such requests for a time.
 func (c *Choice) notePaused(paused time.Duration) {
-	if c.Opens == 0 || paused < c.Opens {
-		c.Opens = paused
+	if c.ResumesAfter == 0 || paused < c.ResumesAfter {
+		c.ResumesAfter = paused
 	}
 }
 
@@ -192,7 +192,7 @@
 	if !b.isRemote(endpoint) {
 		return 1
 	}
-	return max(1, b.settings.RegionBytes)
+	return max(1, b.settings.RemoteByteFactor)
 }
 
 // isBackedOff reports whether the endpoint is backed off, or is being probed by one request
--- a/internal/traffic/balance/observe.go
+++ b/internal/traffic/balance/observe.go
@@ -18,14 +18,14 @@
 func (b *Balancer) Ended(now time.Time, route string, endpoint snapshot.Endpoint, seen Observation) {
 	state := b.stateOf(endpoint, now)
 	state.inFlight = max(0, state.inFlight-1)
-	if seen.Loaded {
+	if seen.HasLoad {
 		state.load = seen.Load
 		state.loadAt = now
-		state.pausedUntil[seen.Urgency] = now.Add(seen.Load.Closed)
+		state.pausedUntil[seen.Urgency] = now.Add(seen.Load.PausedFor)
 		state.setForecast(route, seen.Load, now)
 	}
-	if endpoint.Zone != b.settings.Zone && (seen.Refused || !seen.Failed) {
-		b.recordOffer(now, endpoint.Zone, route, !seen.Refused)
+	if endpoint.Zone != b.settings.Zone && (seen.Rejected || !seen.Failed) {
+		b.recordOffer(now, endpoint.Zone, route, !seen.Rejected)
 	}
 	b.recordRoundTrip(now, &endpoint, seen.RoundTrip)
 	b.recordReachability(now, &endpoint, seen)
--- a/internal/traffic/balance/paused_test.go
+++ b/internal/traffic/balance/paused_test.go
@@ -15,13 +15,13 @@
 func TestPausedEndpointsAreTheLastResort(t *testing.T) {
 	b := newBalancer()
 	endpoints := []snapshot.Endpoint{endpoint("cold", "z1", "r1"), endpoint("slow", "z2", "r1")}
-	b.Ended(start, "read", endpoints[0], Observation{Refused: true, Loaded: true, Load: Load{Slots: 6, Closed: time.Second}})
+	b.Ended(start, "read", endpoints[0], Observation{Rejected: true, HasLoad: true, Load: Load{Slots: 6, PausedFor: time.Second}})
 	need := Need{Route: "read", Objective: time.Second}
 	last := need
-	last.Last = true
+	last.FinalAttempt = true
 	refused := b.Cheapest(start, need, endpoints, []int{1})
 	must.Eq(t, -1, refused.Index)
-	must.Eq(t, time.Second, refused.Opens)
+	must.Eq(t, time.Second, refused.ResumesAfter)
 	must.Eq(t, 0, b.Cheapest(start, last, endpoints, []int{1}).Index)
 	for range 20 {
 		must.Eq(t, 1, b.Cheapest(start, last, endpoints, nil).Index)
--- a/internal/traffic/balance/region.go
+++ b/internal/traffic/balance/region.go
@@ -32,7 +32,7 @@
 	region := b.regions[endpoint.Region]
 	region.probing = false
 	switch {
-	case seen.RoundTrip > 0 || seen.Loaded:
+	case seen.RoundTrip > 0 || seen.HasLoad:
 		region = regionState{}
 	case seen.Unreachable: // an attempt ended by its caller or deadline shows nothing
 		region.failures++
@@ -50,11 +50,11 @@
 		return false
 	}
 	region := b.regions[endpoint.Region]
-	return b.Lost(endpoint.Region) && (region.probing || now.Before(region.retryAt))
+	return b.RegionUnreachable(endpoint.Region) && (region.probing || now.Before(region.retryAt))
 }
 
-// Lost reports whether a region counts as unreachable.
-func (b *Balancer) Lost(region string) bool {
+// RegionUnreachable reports whether a region counts as unreachable.
+func (b *Balancer) RegionUnreachable(region string) bool {
 	return b.regions[region].failures >= unreachableThreshold
 }
 
@@ -64,7 +64,7 @@
 		return
 	}
 	region := b.regions[endpoint.Region]
-	region.probing = b.Lost(endpoint.Region)
+	region.probing = b.RegionUnreachable(endpoint.Region)
 	b.regions[endpoint.Region] = region
 }
 
--- a/internal/traffic/balance/region_test.go
+++ b/internal/traffic/balance/region_test.go
@@ -66,7 +66,7 @@
 // Rejections and worker failures are responses: machines that are down or full do not make
 // their region unreachable.
 func TestResponsiveNodesKeepRegionReachable(t *testing.T) {
-	for _, sign := range []Observation{{RoundTrip: remoteRoundTrip}, {Refused: true, Loaded: true}, {Failed: true, RoundTrip: remoteRoundTrip}} {
+	for _, sign := range []Observation{{RoundTrip: remoteRoundTrip}, {Rejected: true, HasLoad: true}, {Failed: true, RoundTrip: remoteRoundTrip}} {
 		b := newBalancer()
 		endpoints := distantWorkers(8)
 		for index := range 2 * (unreachableThreshold - 1) {
@@ -95,7 +95,7 @@
 		must.Eq(t, -1, b.Cheapest(later, need, endpoints, nil).Index)
 		b.Ended(later, "read", endpoints[chosen], Observation{})
 	}
-	must.True(t, b.Lost("r2"))
+	must.True(t, b.RegionUnreachable("r2"))
 }
 
 // A choice to which no request was sent is no probe of the region: the next request may
--- a/internal/traffic/balance/rejects.go
+++ b/internal/traffic/balance/rejects.go
@@ -17,9 +17,9 @@
 // rejectionPrice is the price of the requests that the endpoint's worker rejects, by its
 // node's last report.
 func (s *endpointState) rejectionPrice(now time.Time) float64 {
-	if s.load.Rejects == 0 {
+	if s.load.RejectShare == 0 {
 		return 0
 	}
 	age := now.Sub(s.loadAt)
-	return rejectPrice * s.load.Rejects * math.Exp(-float64(age)/float64(rejectsDecay))
+	return rejectPrice * s.load.RejectShare * math.Exp(-float64(age)/float64(rejectsDecay))
 }
--- a/internal/traffic/balance/rejects_test.go
+++ b/internal/traffic/balance/rejects_test.go
@@ -18,8 +18,8 @@
 	choose := func(near, far float64, age time.Duration) int {
 		b := newBalancer()
 		for index, share := range []float64{near, far} {
-			reported := Load{Slots: 6, Run: 50 * time.Millisecond, Rejects: share}
-			b.Ended(start, "read", endpoints[index], Observation{Loaded: true, Load: reported})
+			reported := Load{Slots: 6, Run: 50 * time.Millisecond, RejectShare: share}
+			b.Ended(start, "read", endpoints[index], Observation{HasLoad: true, Load: reported})
 		}
 		return b.Cheapest(start.Add(age), need, endpoints, nil).Index
 	}
--- a/internal/traffic/budget_test.go
+++ b/internal/traffic/budget_test.go
@@ -175,11 +175,11 @@
 	now := time.Unix(1_000_000, 0)
 	nested := newNestedCalls()
 	for range 10 {
-		nested.ran()
-		nested.called("dunning")
-		nested.called("dunning")
+		nested.recordRun()
+		nested.recordCall("dunning")
+		nested.recordCall("dunning")
 	}
-	must.Eq(t, map[string]float64{"dunning": 2}, nested.callsOfRun())
+	must.Eq(t, map[string]float64{"dunning": 2}, nested.callsPerRun())
 	b := newServiceBudget(Limits{RetryRatio: 0.2, RetrySlack: 10})
 	must.True(t, b.take("dunning", 1, true, now))
 	b.charge("dunning", 1, 3, now)
--- a/internal/traffic/callers_test.go
+++ b/internal/traffic/callers_test.go
@@ -52,7 +52,7 @@
 		now := time.Now()
 		return &exchange{
 			instance: "i-1", caller: caller, started: now, deadline: now.Add(time.Minute),
-			route: &snapshot.Route{Route: declaration.Route{Name: route}}, class: class{rank: 1, patient: true},
+			route: &snapshot.Route{Route: declaration.Route{Name: route}}, class: class{rank: 1, waitsForDeadline: true},
 		}
 	}
 	for range minInternalCalls {
@@ -64,7 +64,7 @@
 	must.Nil(t, refused)
 	price, refused := a.arrive(request("price", "front"))
 	must.Nil(t, refused)
-	a.done(running)
+	a.release(running)
 	must.Eq(t, admission.Granted, price.Verdict)
 	must.Eq(t, admission.Queued, order.Verdict)
 }
@@ -78,7 +78,7 @@
 		return &exchange{
 			instance: "i-1", caller: "shop", started: now, deadline: now.Add(time.Hour),
 			route: &snapshot.Route{Route: declaration.Route{Name: "order"}},
-			class: class{rank: 1, objective: time.Hour, returned: unlikely, unlikely: unlikely},
+			class: class{rank: 1, objective: time.Hour, callerRetried: unlikely, callsFailedBefore: unlikely},
 		}
 	}
 	running, refused := a.arrive(request(false))
@@ -87,9 +87,9 @@
 	must.Nil(t, refused)
 	first, refused := a.arrive(request(false))
 	must.Nil(t, refused)
-	a.done(running)
+	a.release(running)
 	must.Eq(t, admission.Granted, first.Verdict)
 	must.Eq(t, admission.Queued, again.Verdict)
-	a.done(first)
+	a.release(first)
 	must.Eq(t, admission.Granted, again.Verdict)
 }
--- a/internal/traffic/catalog_mesh_test.go
+++ b/internal/traffic/catalog_mesh_test.go
@@ -112,7 +112,7 @@
 	w.bodies = append(w.bodies, body)
 }
 
-func (w *instanceWorker) last() (*http.Request, string) {
+func (w *instanceWorker) lastRequest() (*http.Request, string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.got[len(w.got)-1], w.bodies[len(w.bodies)-1]
@@ -144,8 +144,8 @@
 	return fmt.Sprintf("%s%s: %s\r\n%s: signed", w.ownResponseFields(), testProtocol.RequestID, request.Header.Get(testProtocol.RequestID), testProtocol.Signature)
 }
 
-// say sets header lines for the worker's responses from now on, each with its line end.
-func (w *instanceWorker) say(fields string) {
+// setResponseFields sets header lines for the worker's responses from now on, each with its line end.
+func (w *instanceWorker) setResponseFields(fields string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.responseFields = fields
@@ -255,7 +255,7 @@
 	node.holder.Renew(time.Now().Add(time.Hour))
 	config := Config{
 		Node: id, Zone: "z1", Region: "r1", Service: "shop", Holder: node.holder, Worker: id,
-		WorkerAddress: node.worker.address(), Protocol: testProtocol, Logger: quiet(),
+		WorkerAddress: node.worker.address(), Protocol: testProtocol, Logger: discardLogger(),
 		Limits: Limits{SmallBody: 4 << 20, RetryRatio: 1},
 	}
 	node.in = NewInbound(config)
--- a/internal/traffic/certificate_test.go
+++ b/internal/traffic/certificate_test.go
@@ -64,14 +64,14 @@
 }
 
 func TestMissingCertificateIsASettingsFault(t *testing.T) {
-	_, err := LoadCertificates("missing.pem", "missing.pem", quiet())
+	_, err := LoadCertificates("missing.pem", "missing.pem", discardLogger())
 	must.Eq(t, fault.Settings, fault.KindOf(err))
 }
 
 func TestRequestOverTLS(t *testing.T) {
 	m, _ := newFaultyMesh(t, nil)
 	certificateFile, keyFile := writeCertificate(t, t.TempDir(), 1, time.Now())
-	c, err := LoadCertificates(certificateFile, keyFile, quiet())
+	c, err := LoadCertificates(certificateFile, keyFile, discardLogger())
 	must.NoError(t, err)
 	server := serveOn(t, tls.NewListener(listen(t), c.TLS()), NewServer(m.out, Limits{}))
 	defer server.Close()
--- a/internal/traffic/choose.go
+++ b/internal/traffic/choose.go
@@ -25,20 +25,20 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	index = c.balancer.Pick(time.Now(), x.route.Endpoints, tried)
-	return index, c.balancer.Another(index)
+	return index, c.balancer.HasAlternative(index)
 }
 
 func (c *chooser) record(x *exchange, endpoint snapshot.Endpoint, observed balance.Observation) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	lostBefore := c.balancer.Lost(endpoint.Region)
+	lostBefore := c.balancer.RegionUnreachable(endpoint.Region)
 	c.balancer.Ended(time.Now(), x.route.Name, endpoint, observed)
 	c.logRegionChange(endpoint.Region, lostBefore)
 }
 
 // logRegionChange logs that a region has become unreachable or reachable again.
 func (c *chooser) logRegionChange(region string, lostBefore bool) {
-	lostNow := c.balancer.Lost(region)
+	lostNow := c.balancer.RegionUnreachable(region)
 	switch {
 	case lostNow && !lostBefore:
 		c.logger.WithFields(logging.Fields{"region": region}).Warn("region.lost")
@@ -60,7 +60,7 @@
 			break
 		}
 		endpoint := x.route.Endpoints[index]
-		got, observed, failure := out.try(x, endpoint, another && reroutes < mostMoves)
+		got, observed, failure := out.try(x, endpoint, another && reroutes < maxReroutes)
 		if failure == nil {
 			ended := got.pass(x)
 			observed.Failed = ended.cut && x.request.Context().Err() == nil
@@ -73,7 +73,7 @@
 		if !mayRetry(x, failure) {
 			break
 		}
-		if failure.cause == causeFull && reroutes < mostMoves {
+		if failure.cause == causeFull && reroutes < maxReroutes {
 			reroutes++
 			out.metrics.retries.Inc()
 			continue
@@ -102,7 +102,7 @@
 	attempt := out.newID()
 	fields := append(x.contextFields(), field{outcome.Route, x.route.Name}, field{attemptHeader, attempt})
 	if hasAlternative {
-		fields = append(fields, field{elsewhereHeader, "1"})
+		fields = append(fields, field{alternativeHeader, "1"})
 	}
 	observed := balance.Observation{}
 	began := time.Now()
@@ -110,7 +110,7 @@
 		if failure := checkNodeResponse(x, attempt, response); failure != nil {
 			return failure
 		}
-		observed.Load, observed.Loaded = parseLoad(get(response.Header, outcome.Load))
+		observed.Load, observed.HasLoad = parseLoad(get(response.Header, outcome.Load))
 		if x.body.stream == nil {
 			observed.Latency = time.Since(began)
 		}
--- a/internal/traffic/claim.go
+++ b/internal/traffic/claim.go
@@ -36,7 +36,7 @@
 		if ended.outcome == outcome.NotRun {
 			in.config.Claims.Release(x.route.Service, key, decision.Holder)
 		} else {
-			in.config.Claims.Finish(x.route.Service, key, decision.Holder, ended.encodeForReplay(in.config.Limits.KeptAnswer))
+			in.config.Claims.Finish(x.route.Service, key, decision.Holder, ended.encodeForReplay(in.config.Limits.StoredResponse))
 		}
 		return ended
 	}
@@ -47,8 +47,8 @@
 func resultWithoutRun(decision claim.Decision) result {
 	switch decision.Verdict {
 	case claim.VerdictAnswered:
-		return replay(decision.Answer)
-	case claim.VerdictRan:
+		return replay(decision.Response)
+	case claim.VerdictAlreadyRan:
 		return unknown(http.StatusConflict, causeClaim, "this key ran before or may have, look up what it came to; its answer is no longer kept")
 	case claim.VerdictBusy:
 		busy := unknown(http.StatusConflict, causeClaim, "this key may be running now, send the same request with the same key again for its answer")
--- a/internal/traffic/closing/closing.go
+++ b/internal/traffic/closing/closing.go
@@ -21,28 +21,28 @@
 	Urgencies int = iota // number of urgencies
 )
 
-// Most is the maximum time for which callers' nodes are told to send no more requests.
-const Most = time.Second
+// MaxPause is the maximum time for which callers' nodes are told to send no more requests.
+const MaxPause = time.Second
 
-// Bookings holds, by urgency, the time until which callers' nodes must send no more
+// Pauses holds, by urgency, the time until which callers' nodes must send no more
 // requests. The zero value stops none. It is not safe for concurrent use.
-type Bookings [Urgencies]time.Time
+type Pauses [Urgencies]time.Time
 
-// Book records a rejected request at a worker that takes one request per interval, and
-// extends the time of its urgency by the interval, up to Most from now.
-func (b *Bookings) Book(urgency Urgency, interval time.Duration, now time.Time) {
+// Extend records a rejected request at a worker that takes one request per interval, and
+// extends the time of its urgency by the interval, up to MaxPause from now.
+func (b *Pauses) Extend(urgency Urgency, interval time.Duration, now time.Time) {
 	until := &b[urgency]
 	if until.Before(now) {
 		*until = now
 	}
 	*until = until.Add(interval)
-	if latest := now.Add(Most); until.After(latest) {
+	if latest := now.Add(MaxPause); until.After(latest) {
 		*until = latest
 	}
 }
 
-// Left is the time for which a node that gets a response now must send no more requests of
+// Remaining is the time for which a node that gets a response now must send no more requests of
 // an urgency, 0 if it may send them.
-func (b *Bookings) Left(urgency Urgency, now time.Time) time.Duration {
+func (b *Pauses) Remaining(urgency Urgency, now time.Time) time.Duration {
 	return max(0, b[urgency].Sub(now))
 }
--- a/internal/traffic/cold.go
+++ b/internal/traffic/cold.go
@@ -71,13 +71,13 @@
 func (a *admitter) hasColdCapacity(urgency closing.Urgency, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.cold.Open(urgency, now)
+	return a.cold.CanSend(urgency, now)
 }
 
 func (a *admitter) takeColdCapacity(urgency closing.Urgency, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.cold.Take(urgency, now)
+	return a.cold.Acquire(urgency, now)
 }
 
 func (a *admitter) probeDue(now time.Time) bool {
@@ -86,9 +86,9 @@
 	return a.cold.ProbeDue(now)
 }
 
-// Recorded applies a new catalog record of the local worker. A new instance, and one whose
+// UpdateLocal applies a new catalog record of the local worker. A new instance, and one whose
 // zone was evacuated until now, is treated as just started and therefore cold.
-func (in *Inbound) Recorded(local snapshot.Local) {
+func (in *Inbound) UpdateLocal(local snapshot.Local) {
 	now := time.Now()
 	a := in.admitter
 	a.mutex.Lock()
@@ -101,13 +101,13 @@
 		in.reportReplaced(before)
 	}
 	a.cold.Bind(coldstart.Bound{
-		PerSecond: local.ColdPerSecond, Overage: in.config.Limits.ColdOverage, Slack: in.config.Limits.ColdSlack, Lasts: local.ColdStart,
+		PerSecond: local.ColdPerSecond, Overage: in.config.Limits.ColdOverage, Slack: in.config.Limits.ColdSlack, Duration: local.ColdStart,
 	})
 	if before.Instance != local.Instance || before.Evacuated && !local.Evacuated {
-		a.cold.Started(now)
+		a.cold.MarkStarted(now)
 	}
-	if before.Instance != local.Instance || before.Cold != local.Cold {
-		a.cold.Cold(local.Cold, now)
+	if before.Instance != local.Instance || before.ColdRemaining != local.ColdRemaining {
+		a.cold.ExtendCold(local.ColdRemaining, now)
 	}
 }
 
@@ -120,12 +120,12 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	switch {
-	case failure == nil || failure.arrived:
-		a.cold.Heard(now)
+	case failure == nil || failure.reachedWorker:
+		a.cold.RecordResponse(now)
 	case failure.cause == causeConnect:
-		a.cold.Started(now)
+		a.cold.MarkStarted(now)
 	case failure.cause == causeBroken:
-		a.cold.Doubt()
+		a.cold.SuspectRestart()
 	}
 }
 
@@ -138,10 +138,10 @@
 	defer in.admitter.mutex.Unlock()
 	switch {
 	case err == nil:
-		in.admitter.cold.Probed(remaining, time.Now())
+		in.admitter.cold.RecordProbe(remaining, time.Now())
 		return
 	case ctx.Err() == nil:
-		in.admitter.cold.Started(time.Now()) // the worker is down, rather than slow to respond
+		in.admitter.cold.MarkStarted(time.Now()) // the worker is down, rather than slow to respond
 	}
 	logging.Problem(in.config.Logger, "worker.healthUnknown", err, logging.Fields{"instance": local.Instance})
 }
--- a/internal/traffic/cold_test.go
+++ b/internal/traffic/cold_test.go
@@ -17,8 +17,8 @@
 	m := newCatalogMesh(t, 1)
 	const capacity = 5 // requests per second; one may be sent at once
 	cold := snapshot.Local{Instance: m.nodes[0].worker.id, ID: m.nodes[0].worker.id, Service: "shop", Slots: 2, Connections: 130, ColdPerSecond: capacity, ColdStart: time.Hour, HealthPath: "/health"}
-	m.nodes[0].in.Recorded(cold)
-	m.nodes[0].in.admitter.cold.Probed(time.Hour, time.Now())
+	m.nodes[0].in.UpdateLocal(cold)
+	m.nodes[0].in.admitter.cold.RecordProbe(time.Hour, time.Now())
 	statuses := map[int]int{}
 	began := time.Now()
 	for range 40 {
@@ -41,15 +41,15 @@
 	m := newCatalogMesh(t, 1)
 	in := m.nodes[0].in
 	local := snapshot.Local{Instance: "i-0", ColdPerSecond: 5, ColdStart: time.Minute}
-	in.Recorded(local)
-	in.admitter.cold.Probed(0, time.Now())
-	must.False(t, in.admitter.cold.Limits(time.Now()))
+	in.UpdateLocal(local)
+	in.admitter.cold.RecordProbe(0, time.Now())
+	must.False(t, in.admitter.cold.Limited(time.Now()))
 	local.Evacuated = true
-	in.Recorded(local)
-	must.False(t, in.admitter.cold.Limits(time.Now()))
+	in.UpdateLocal(local)
+	must.False(t, in.admitter.cold.Limited(time.Now()))
 	local.Evacuated = false
-	in.Recorded(local)
-	must.True(t, in.admitter.cold.Limits(time.Now()))
+	in.UpdateLocal(local)
+	must.True(t, in.admitter.cold.Limited(time.Now()))
 }
 
 // The header of a worker's health response gives its remaining cold time. A response without the
@@ -89,6 +89,6 @@
 	t.Cleanup(worker.Close)
 	protocol := testProtocol
 	protocol.ColdRemaining = "X-Test-Cold"
-	in := NewInbound(Config{Holder: &snapshot.Holder{}, Service: "shop", Protocol: protocol, WorkerAddress: address(worker.URL), Logger: quiet()})
+	in := NewInbound(Config{Holder: &snapshot.Holder{}, Service: "shop", Protocol: protocol, WorkerAddress: address(worker.URL), Logger: discardLogger()})
 	return in.coldRemaining(t.Context(), snapshot.Local{ID: "i-local", HealthPath: "/health"})
 }
--- a/internal/traffic/cold_wait.go
+++ b/internal/traffic/cold_wait.go
@@ -33,7 +33,7 @@
 // reserveWarmWait adds a request to those that wait until the worker is warm, and returns the
 // remaining cold time. It reports false if the request may not wait.
 func (a *admitter) reserveWarmWait(x *exchange, now time.Time) (time.Duration, bool) {
-	if !x.class.returned || x.instance == "" {
+	if !x.class.callerRetried || x.instance == "" {
 		return 0, false
 	}
 	a.mutex.Lock()
--- a/internal/traffic/cold_wait_test.go
+++ b/internal/traffic/cold_wait_test.go
@@ -21,8 +21,8 @@
 func TestLastAttemptWaitsUntilWorkerIsWarm(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	in := m.nodes[0].in
-	in.Recorded(coldLocal(m.nodes[0].worker.id))
-	in.admitter.cold.Probed(time.Hour, time.Now())
+	in.UpdateLocal(coldLocal(m.nodes[0].worker.id))
+	in.admitter.cold.RecordProbe(time.Hour, time.Now())
 	order := func(deadline string) int {
 		response, _, err := m.call(http.MethodPost, "/order/1", "two", testProtocol.Deadline, deadline)
 		must.NoError(t, err)
@@ -31,7 +31,7 @@
 	must.Eq(t, http.StatusOK, order("20000")) // the whole capacity of the cold worker
 	must.Eq(t, http.StatusServiceUnavailable, order("20000"))
 	must.Eq(t, http.StatusServiceUnavailable, order("10000")) // the last attempt, but an hour is too long
-	in.admitter.cold.Probed(200*time.Millisecond, time.Now())
+	in.admitter.cold.RecordProbe(200*time.Millisecond, time.Now())
 	must.Eq(t, http.StatusOK, order("10000"))
 	must.Eq(t, 2, m.runs())
 }
@@ -39,12 +39,12 @@
 // The requests that wait for a warm worker are limited to its slots. Requests that would exceed
 // their deadline, and those that may still be retried, do not wait.
 func TestWarmWaitsAreLimited(t *testing.T) {
-	in := NewInbound(Config{Holder: &snapshot.Holder{}, Service: "shop", Protocol: testProtocol, Limits: Limits{Slots: 2}, Logger: quiet()})
-	in.Recorded(coldLocal("i-0"))
+	in := NewInbound(Config{Holder: &snapshot.Holder{}, Service: "shop", Protocol: testProtocol, Limits: Limits{Slots: 2}, Logger: discardLogger()})
+	in.UpdateLocal(coldLocal("i-0"))
 	now := time.Now()
-	in.admitter.cold.Probed(time.Second, now)
+	in.admitter.cold.RecordProbe(time.Second, now)
 	request := func(left time.Duration, returned bool) *exchange {
-		return &exchange{instance: "i-0", route: &snapshot.Route{}, deadline: now.Add(left), class: class{returned: returned}}
+		return &exchange{instance: "i-0", route: &snapshot.Route{}, deadline: now.Add(left), class: class{callerRetried: returned}}
 	}
 	joins := func(x *exchange) bool {
 		_, joined := in.admitter.reserveWarmWait(x, now)
--- a/internal/traffic/coldstart/guard.go
+++ b/internal/traffic/coldstart/guard.go
@@ -43,7 +43,7 @@
 	PerSecond float64       // declared capacity in requests per second; 0: unlimited
 	Overage   float64       // factor of the declared capacity that may be sent; below 1 counts as 1
 	Slack     float64       // additional requests allowed in any second
-	Lasts     time.Duration // duration of a cold start
+	Duration  time.Duration // duration of a cold start
 }
 
 // rate is the rate of requests per second to a cold worker. It makes full use of the
@@ -65,7 +65,7 @@
 	probeNeeded  bool      // whether the worker may have restarted and has not reported its health since
 	lastResponse time.Time // last response of the worker
 	lastProbe    time.Time // last health check
-	pauses       closing.Bookings
+	pauses       closing.Pauses
 }
 
 // reserveShare is the part of the burst that is reserved for urgent requests. Others get
@@ -94,31 +94,31 @@
 	}
 }
 
-// Started reports that the worker may have just started: it counts as cold and a health
+// MarkStarted reports that the worker may have just started: it counts as cold and a health
 // check is due.
-func (g *Guard) Started(now time.Time) {
+func (g *Guard) MarkStarted(now time.Time) {
 	g.probeNeeded = true
-	g.Cold(g.bound.Lasts, now)
+	g.ExtendCold(g.bound.Duration, now)
 }
 
-// Doubt reports a weak indication that the worker may have restarted: a health check is
+// SuspectRestart reports a weak indication that the worker may have restarted: a health check is
 // due, but the worker is not limited until its result.
-func (g *Guard) Doubt() { g.probeNeeded = true }
+func (g *Guard) SuspectRestart() { g.probeNeeded = true }
 
-// Cold reports that the worker may stay cold for the given time. It never shortens the cold
+// ExtendCold reports that the worker may stay cold for the given time. It never shortens the cold
 // start.
-func (g *Guard) Cold(remaining time.Duration, now time.Time) {
+func (g *Guard) ExtendCold(remaining time.Duration, now time.Time) {
 	if until := now.Add(remaining); until.After(g.coldUntil) {
 		g.coldUntil = until
 	}
 }
 
-// Heard records that the worker has responded to a request.
-func (g *Guard) Heard(now time.Time) { g.lastResponse = now }
+// RecordResponse records that the worker has responded to a request.
+func (g *Guard) RecordResponse(now time.Time) { g.lastResponse = now }
 
-// Probed records the result of a health check: the time for which the worker stays cold, 0
+// RecordProbe records the result of a health check: the time for which the worker stays cold, 0
 // if it is warm.
-func (g *Guard) Probed(remaining time.Duration, now time.Time) {
+func (g *Guard) RecordProbe(remaining time.Duration, now time.Time) {
 	g.probeNeeded = false
 	g.lastResponse = now
 	g.coldUntil = now.Add(remaining)
@@ -131,7 +131,7 @@
 		return false
 	}
 	if now.Sub(g.lastResponse) > unresponsiveAfter {
-		g.Started(now)
+		g.MarkStarted(now)
 	}
 	if !g.probeNeeded || now.Sub(g.lastProbe) < probeInterval {
 		return false
@@ -140,22 +140,22 @@
 	return true
 }
 
-// Limits reports whether the worker counts as cold and is limited.
-func (g *Guard) Limits(now time.Time) bool {
+// Limited reports whether the worker counts as cold and is limited.
+func (g *Guard) Limited(now time.Time) bool {
 	return g.bound.PerSecond > 0 && now.Before(g.coldUntil)
 }
 
 // ColdFor is the time for which the worker remains limited, 0 if it is not.
 func (g *Guard) ColdFor(now time.Time) time.Duration {
-	if !g.Limits(now) {
+	if !g.Limited(now) {
 		return 0
 	}
 	return g.coldUntil.Sub(now)
 }
 
-// Open reports whether a request that arrives now may pass, without counting it. A rejected
-// request extends the time that Closed returns.
-func (g *Guard) Open(urgency closing.Urgency, now time.Time) bool {
+// CanSend reports whether a request that arrives now may pass, without counting it. A rejected
+// request extends the time that PausedFor returns.
+func (g *Guard) CanSend(urgency closing.Urgency, now time.Time) bool {
 	if g.allows(urgency, now) {
 		return true
 	}
@@ -163,10 +163,10 @@
 	return false
 }
 
-// Take counts a request and reports whether it may pass. It must be called just before the
-// request is sent. A rejected request extends the time that Closed returns.
-func (g *Guard) Take(urgency closing.Urgency, now time.Time) bool {
-	if !g.Limits(now) || g.allows(urgency, now) && g.limiter.AllowN(now, 1) {
+// Acquire counts a request and reports whether it may pass. It must be called just before the
+// request is sent. A rejected request extends the time that PausedFor returns.
+func (g *Guard) Acquire(urgency closing.Urgency, now time.Time) bool {
+	if !g.Limited(now) || g.allows(urgency, now) && g.limiter.AllowN(now, 1) {
 		return true
 	}
 	g.recordRejection(urgency, now)
@@ -175,7 +175,7 @@
 
 // allows reports whether a request would pass now.
 func (g *Guard) allows(urgency closing.Urgency, now time.Time) bool {
-	if !g.Limits(now) {
+	if !g.Limited(now) {
 		return true
 	}
 	needed := 1 + reserve(urgency)*float64(g.limiter.Burst()-1)
@@ -185,15 +185,15 @@
 // recordRejection records a rejected request.
 func (g *Guard) recordRejection(urgency closing.Urgency, now time.Time) {
 	interval := time.Duration(float64(time.Second) / g.bound.rate())
-	g.pauses.Book(urgency, interval, now)
+	g.pauses.Extend(urgency, interval, now)
 }
 
-// Closed is the time for which the node that gets this response must send no more requests
+// PausedFor is the time for which the node that gets this response must send no more requests
 // of an urgency. Each rejected request extends it by the time that the worker needs for
 // one, so that callers retry one after the other and few of them are rejected again.
-func (g *Guard) Closed(urgency closing.Urgency, now time.Time) time.Duration {
-	if !g.Limits(now) {
+func (g *Guard) PausedFor(urgency closing.Urgency, now time.Time) time.Duration {
+	if !g.Limited(now) {
 		return 0
 	}
-	return g.pauses.Left(urgency, now)
+	return g.pauses.Remaining(urgency, now)
 }
--- a/internal/traffic/coldstart/guard_test.go
+++ b/internal/traffic/coldstart/guard_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-var bound = Bound{PerSecond: 13, Lasts: 3 * time.Second}
+var bound = Bound{PerSecond: 13, Duration: 3 * time.Second}
 
 // maxPerSecond is the largest number of requests in any second that a worker with this
 // bound can handle, the burst included.
@@ -23,7 +23,7 @@
 func newGuardWith(bound Bound, now time.Time) *Guard {
 	guard := &Guard{}
 	guard.Bind(bound)
-	guard.Started(now)
+	guard.MarkStarted(now)
 	return guard
 }
 
@@ -45,7 +45,7 @@
 	guard, passed := flood(bound)
 	must.LessEq(t, maxPerSecond, maxInOneSecond(passed))
 	must.GreaterEq(t, 36, len(passed)) // of 39: the rate is used
-	must.True(t, guard.Open(closing.Urgent, start.Add(bound.Lasts)))
+	must.True(t, guard.CanSend(closing.Urgent, start.Add(bound.Duration)))
 }
 
 // Overage and slack are used but not exceeded: 13 x 1.5 + 8 = 27.5 requests in any second,
@@ -82,8 +82,8 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	guard := newGuardWith(bound, start)
 	var passed []time.Time
-	for now := start; now.Before(start.Add(bound.Lasts)); now = now.Add(time.Duration(random.ExpFloat64() * float64(3*time.Millisecond))) {
-		if guard.Open(closing.Urgent, now) && guard.Take(closing.Urgent, now) {
+	for now := start; now.Before(start.Add(bound.Duration)); now = now.Add(time.Duration(random.ExpFloat64() * float64(3*time.Millisecond))) {
+		if guard.CanSend(closing.Urgent, now) && guard.Acquire(closing.Urgent, now) {
 			passed = append(passed, now)
 		}
 	}
@@ -94,66 +94,66 @@
 // otherwise, since it may have restarted.
 func TestUnresponsiveWorkerCountsAsCold(t *testing.T) {
 	guard := newGuard(start)
-	guard.Probed(0, start)
-	guard.Heard(start.Add(500 * time.Millisecond))
+	guard.RecordProbe(0, start)
+	guard.RecordResponse(start.Add(500 * time.Millisecond))
 	must.False(t, guard.ProbeDue(start.Add(time.Second)))
-	must.False(t, guard.Limits(start.Add(time.Second)))
+	must.False(t, guard.Limited(start.Add(time.Second)))
 	later := start.Add(5 * time.Second)
 	must.True(t, guard.ProbeDue(later))
-	must.True(t, guard.Limits(later))
+	must.True(t, guard.Limited(later))
 	must.False(t, guard.ProbeDue(later.Add(time.Millisecond))) // one health check at a time
-	guard.Probed(0, later)
-	must.False(t, guard.Limits(later))
+	guard.RecordProbe(0, later)
+	must.False(t, guard.Limited(later))
 }
 
 // The reported remaining cold time replaces the assumed one, whether it is longer or
 // shorter.
 func TestHealthCheckSetsColdTime(t *testing.T) {
 	guard := newGuard(start)
-	guard.Probed(time.Second, start)
-	must.True(t, guard.Limits(start.Add(900*time.Millisecond)))
-	must.False(t, guard.Limits(start.Add(1100*time.Millisecond)))
-	guard.Cold(4*time.Second, start)
-	must.True(t, guard.Limits(start.Add(3900*time.Millisecond)))
+	guard.RecordProbe(time.Second, start)
+	must.True(t, guard.Limited(start.Add(900*time.Millisecond)))
+	must.False(t, guard.Limited(start.Add(1100*time.Millisecond)))
+	guard.ExtendCold(4*time.Second, start)
+	must.True(t, guard.Limited(start.Add(3900*time.Millisecond)))
 }
 
-// Doubt triggers a health check but limits nothing until its result.
+// SuspectRestart triggers a health check but limits nothing until its result.
 func TestDoubtDoesNotLimit(t *testing.T) {
 	guard := newGuard(start)
-	guard.Probed(0, start)
+	guard.RecordProbe(0, start)
 	now := start.Add(probeInterval)
-	guard.Doubt()
+	guard.SuspectRestart()
 	must.True(t, guard.ProbeDue(now))
-	must.False(t, guard.Limits(now))
+	must.False(t, guard.Limited(now))
 }
 
 // Rejected callers are told to retry one after the other, at the rate of the worker, and
-// after at most closing.Most.
+// after at most closing.MaxPause.
 func TestRejectedCallersRetryOneByOne(t *testing.T) {
 	guard := newGuard(start)
-	for guard.Open(closing.Urgent, start) && guard.Take(closing.Urgent, start) {
+	for guard.CanSend(closing.Urgent, start) && guard.Acquire(closing.Urgent, start) {
 	}
-	first := guard.Closed(closing.Urgent, start)
-	must.False(t, guard.Open(closing.Urgent, start))
-	second := guard.Closed(closing.Urgent, start)
+	first := guard.PausedFor(closing.Urgent, start)
+	must.False(t, guard.CanSend(closing.Urgent, start))
+	second := guard.PausedFor(closing.Urgent, start)
 	must.InDelta(t, float64(time.Second)/13, float64(second-first), float64(time.Microsecond))
 	must.Greater(t, first, second)
 	for range 100 {
-		guard.Open(closing.Urgent, start)
+		guard.CanSend(closing.Urgent, start)
 	}
-	must.Eq(t, closing.Most, guard.Closed(closing.Urgent, start))
+	must.Eq(t, closing.MaxPause, guard.PausedFor(closing.Urgent, start))
 }
 
 // A service that declares no bound is not limited.
 func TestUnboundedWorkerIsNotLimited(t *testing.T) {
 	guard := &Guard{}
-	guard.Bind(Bound{Lasts: time.Second})
-	guard.Started(start)
+	guard.Bind(Bound{Duration: time.Second})
+	guard.MarkStarted(start)
 	must.False(t, guard.ProbeDue(start))
 	for range 1000 {
-		must.True(t, guard.Open(closing.Urgent, start) && guard.Take(closing.Urgent, start))
+		must.True(t, guard.CanSend(closing.Urgent, start) && guard.Acquire(closing.Urgent, start))
 	}
-	must.Zero(t, guard.Closed(closing.Urgent, start))
+	must.Zero(t, guard.PausedFor(closing.Urgent, start))
 }
 
 // While urgent requests exceed the rate, others get almost nothing; without urgent requests
@@ -167,7 +167,7 @@
 		for step := range 3000 {
 			now := start.Add(time.Duration(step) * time.Millisecond)
 			for _, urgency := range []closing.Urgency{closing.Patient, closing.Urgent} {
-				if (mixed || urgency == closing.Patient) && guard.Open(urgency, now) && guard.Take(urgency, now) {
+				if (mixed || urgency == closing.Patient) && guard.CanSend(urgency, now) && guard.Acquire(urgency, now) {
 					passed[urgency]++
 				}
 			}
@@ -193,7 +193,7 @@
 			for step := range 3000 {
 				now := start.Add(time.Duration(step) * time.Millisecond)
 				for _, urgency := range []closing.Urgency{second, first} {
-					if guard.Open(urgency, now) && guard.Take(urgency, now) {
+					if guard.CanSend(urgency, now) && guard.Acquire(urgency, now) {
 						passed[urgency]++
 					}
 				}
--- a/internal/traffic/conn.go
+++ b/internal/traffic/conn.go
@@ -90,7 +90,7 @@
 	earlierConnWrote bool  // whether bytes were written on an earlier connection
 }
 
-func newSending() *writeTracker {
+func newWriteTracker() *writeTracker {
 	s := &writeTracker{}
 	s.trace.GotConn = s.gotConn
 	return s
--- a/internal/traffic/deadline.go
+++ b/internal/traffic/deadline.go
@@ -8,15 +8,15 @@
 	"sliphead/internal/outcome"
 )
 
-// limitTime ends the exchange at the earlier of the route's deadline and the one received
+// applyDeadline ends the exchange at the earlier of the route's deadline and the one received
 // from the caller's node, so that a deadline never grows along the call tree.
-func limitTime(next stage) stage {
+func applyDeadline(next stage) stage {
 	return func(x *exchange) result {
 		allowed := time.Duration(x.route.DeadlineMS) * time.Millisecond
 		received := number(x.request.Header, outcome.Deadline, -1)
 		if received >= 0 {
-			x.given = time.Duration(received) * time.Millisecond
-			allowed = min(allowed, x.given)
+			x.callerTimeout = time.Duration(received) * time.Millisecond
+			allowed = min(allowed, x.callerTimeout)
 		}
 		if allowed <= 0 {
 			return refuse(causeDeadline, time.Second, "the deadline has passed, send it again with more time")
--- a/internal/traffic/depth_test.go
+++ b/internal/traffic/depth_test.go
@@ -36,7 +36,7 @@
 	var routes []*snapshot.Route
 	for level := range levels {
 		calls := NewCalls()
-		outbound := serve(t, NewOutbound(Config{Holder: holder, Calls: calls, Logger: quiet()}), Limits{})
+		outbound := serve(t, NewOutbound(Config{Holder: holder, Calls: calls, Logger: discardLogger()}), Limits{})
 		next := level + 1
 		if loop {
 			next = level
@@ -57,7 +57,7 @@
 				c.observedFailures[level].Add(1)
 			}
 		}
-		inbound := serve(t, NewInbound(Config{Observe: observe, Holder: holder, Calls: calls, WorkerAddress: address(worker.URL), Limits: Limits{Slots: 64}, Logger: quiet()}), Limits{})
+		inbound := serve(t, NewInbound(Config{Observe: observe, Holder: holder, Calls: calls, WorkerAddress: address(worker.URL), Limits: Limits{Slots: 64}, Logger: discardLogger()}), Limits{})
 		t.Cleanup(func() { outbound.Close(); inbound.Close(); worker.Close() })
 		name := "level-" + strconv.Itoa(level)
 		endpoint := snapshot.Endpoint{Worker: name, Address: address(inbound.URL), Slots: 64, Connections: 130}
@@ -70,7 +70,7 @@
 		})
 	}
 	holder.Store(snapshot.NewView(version.Version{}, time.Now(), routes))
-	edge := serve(t, NewOutbound(Config{Holder: holder, Edge: true, Logger: quiet()}), Limits{})
+	edge := serve(t, NewOutbound(Config{Holder: holder, Edge: true, Logger: discardLogger()}), Limits{})
 	t.Cleanup(edge.Close)
 	c.entry = edge.URL + "/level-0"
 	return c
--- a/internal/traffic/dispatch.go
+++ b/internal/traffic/dispatch.go
@@ -11,7 +11,7 @@
 
 // Bounds for dispatching one request in a catalog's mesh.
 const (
-	leastWait       = 20 * time.Millisecond  // minimum Retry-After
+	minRetryAfter   = 20 * time.Millisecond  // minimum Retry-After
 	maxRetryAfter   = time.Second            // maximum Retry-After
 	retryAfterShare = 3                      // divisor of the time left: the maximum Retry-After
 	minAckTimeout   = 80 * time.Millisecond  // minimum acknowledgement timeout
@@ -25,11 +25,11 @@
 // to nodes until one accepts it. An offer that a node refuses costs nothing; a request that a
 // worker has received is sent again only within the route's attempts and the retry budget.
 func (out *Outbound) dispatch(x *exchange) result {
-	x.lastChance = out.lastChance(x)
+	x.lastAttempt = out.isLastAttempt(x)
 	d := dispatch{out: out, x: x, finished: make(chan *pendingAttempt, maxOffers), last: refuse(causeEndpoints, 0, "send it again later, no worker takes this route now")}
 	defer d.close()
 	ended := d.offerToTarget()
-	out.noteEnd(x, d.service, &ended)
+	out.recordEnd(x, d.service, &ended)
 	return ended
 }
 
@@ -68,18 +68,18 @@
 	d.out.budget.deposit(target.Service, d.out.nodes(), time.Now())
 	d.service = target.Service
 	need := d.need()
-	endpoints := d.out.reports.staying(d.inAllowedRegions(d.onTrial(d.x.view.EndpointsOf(target))))
+	endpoints := d.out.reports.withoutLeaving(d.inAllowedRegions(d.trialEndpoints(d.x.view.EndpointsOf(target))))
 	var excluded []int
 	for d.offers < d.out.offers.total && d.x.context.Err() == nil {
-		need.Refused, need.Near = d.fullRefusals > 0, d.crossZoneOffers >= d.out.offers.crossZone
+		need.Rejected, need.StayInZone = d.fullRefusals > 0, d.crossZoneOffers >= d.out.offers.crossZone
 		choice := d.out.chooser.cheapest(need, endpoints, excluded)
 		if choice.Index < 0 {
-			d.recordWait(choice.Opens)
+			d.recordWait(choice.ResumesAfter)
 			return result{}, false
 		}
 		excluded = append(excluded, choice.Index)
-		d.x.class.patient = choice.Patient
-		if ended, done := d.try(target, endpoints[choice.Index], choice.Another); done {
+		d.x.class.waitsForDeadline = choice.LateHere
+		if ended, done := d.try(target, endpoints[choice.Index], choice.HasAlternative); done {
 			return ended, true
 		}
 	}
@@ -112,13 +112,13 @@
 func (d *dispatch) need() balance.Need {
 	const kilo = 1000
 	return balance.Need{
-		Route:     d.x.route.Name,
-		Objective: max(time.Millisecond, d.x.route.Objective-time.Since(d.x.started)),
-		Deadline:  time.Until(d.x.deadline),
-		Kilobytes: float64(d.x.body.length+headerBytes) / kilo,
-		Trips:     d.x.roundTrips(),
-		Urgency:   d.x.class.urgency(),
-		Last:      d.x.class.returned,
+		Route:        d.x.route.Name,
+		Objective:    max(time.Millisecond, d.x.route.Objective-time.Since(d.x.started)),
+		Deadline:     time.Until(d.x.deadline),
+		Kilobytes:    float64(d.x.body.length+headerBytes) / kilo,
+		RoundTrips:   d.x.roundTrips(),
+		Urgency:      d.x.class.urgency(),
+		FinalAttempt: d.x.class.callerRetried,
 	}
 }
 
@@ -130,17 +130,17 @@
 		d.last = *refused
 		return d.finish(), true
 	}
-	if d.attempts > 0 && !d.out.budget.take(target.Service, d.out.nodes(), d.x.lastChance, time.Now()) {
+	if d.attempts > 0 && !d.out.budget.take(target.Service, d.out.nodes(), d.x.lastAttempt, time.Now()) {
 		d.out.chooser.release(endpoint)
 		return d.finish(), true
 	}
 	d.offers++
-	d.x.repeat = d.attempts > 0
+	d.x.repeated = d.attempts > 0
 	if endpoint.Zone != d.out.config.Zone {
 		d.crossZoneOffers++
 	}
 	d.x.offers, d.x.instance = d.offers, endpoint.Worker
-	d.x.elsewhere = another && d.offers < d.out.offers.total
+	d.x.hasAlternative = another && d.offers < d.out.offers.total
 	d.x.roundTrip, d.x.roundTripMeasured = d.out.chooser.roundTrip(endpoint)
 	d.x.rerouteTime = d.out.ackDelays.rerouteTime() + d.x.roundTrip
 	if !endpoint.Local && !d.x.offersBody() {
@@ -154,17 +154,17 @@
 func (d *dispatch) conclude(target snapshot.Target, endpoint snapshot.Endpoint, got *answer, observed balance.Observation, failure *result) (result, bool) {
 	observed.Urgency = d.x.class.urgency()
 	d.out.chooser.record(d.x, endpoint, observed)
-	if observed.Refused {
+	if observed.Rejected {
 		d.fullRefusals++
 	}
 	d.rejected = isRejection(failure, observed.Load)
-	if d.attempts > 0 && failure != nil && failure.outcome == outcome.NotRun && !failure.arrived {
+	if d.attempts > 0 && failure != nil && failure.outcome == outcome.NotRun && !failure.reachedWorker {
 		d.out.budget.refund(target.Service, d.out.nodes(), time.Now())
 	}
 	if failure == nil {
 		return d.accept(got)
 	}
-	if endpoint.Lapsed && failure.outcome == outcome.NotRun && !failure.arrived && failure.cause != causeCallerGone {
+	if endpoint.Lapsed && failure.outcome == outcome.NotRun && !failure.reachedWorker && failure.cause != causeCallerGone {
 		return result{}, false // its node reports that the worker was removed: the offer does not count
 	}
 	ended, done := d.handleFailure(failure)
@@ -186,7 +186,7 @@
 		return result{}, false
 	}
 	d.x.callFailed = got.callFailed
-	d.out.retryDelays.answered(d.service, time.Now())
+	d.out.retrySchedules.recordAnswered(d.service, time.Now())
 	return got.pass(d.x), true
 }
 
@@ -199,10 +199,10 @@
 	}
 	if failure.outcome == outcome.NotRun {
 		d.recordWait(failure.retryAfter)
-		if failure.arrived {
+		if failure.reachedWorker {
 			d.attempts++
 		}
-		if failure.arrived && d.attempts >= d.x.route.MaxAttempts || failure.cause == causeCallerGone || failure.cause == causeQuarantine || failure.cause == causeKey {
+		if failure.reachedWorker && d.attempts >= d.x.route.MaxAttempts || failure.cause == causeCallerGone || failure.cause == causeQuarantine || failure.cause == causeKey {
 			return d.finish(), true
 		}
 		return result{}, false
@@ -261,10 +261,10 @@
 // increase.
 func (d *dispatch) retryDelay(now time.Time) time.Duration {
 	if d.rejected {
-		return leastWait
+		return minRetryAfter
 	}
-	maxDelay := min(max(leastWait, d.x.deadline.Sub(now)/retryAfterShare), maxRetryAfter)
-	return d.out.retryDelays.comeBack(d.service, d.x.class.tenant, min(max(d.shortestWait, leastWait), maxDelay), maxDelay, now)
+	maxDelay := min(max(minRetryAfter, d.x.deadline.Sub(now)/retryAfterShare), maxRetryAfter)
+	return d.out.retrySchedules.retryDelay(d.service, d.x.class.tenant, min(max(d.shortestWait, minRetryAfter), maxDelay), maxDelay, now)
 }
 
 // release reverts a choice to which no request was sent.
--- a/internal/traffic/dispatch_test.go
+++ b/internal/traffic/dispatch_test.go
@@ -27,7 +27,7 @@
 	must.Eq(t, http.StatusOK, response.StatusCode)
 	must.Eq(t, "answer to r-1", text)
 	must.Eq(t, "signed", response.Header.Get(testProtocol.Signature))
-	got, body := m.nodes[0].worker.last()
+	got, body := m.nodes[0].worker.lastRequest()
 	must.Eq(t, "wedding cards", body)
 	must.Eq(t, "/order/a?b=c", got.URL.RequestURI())
 	must.Eq(t, "shop", got.Header.Get(testProtocol.CallerService))
@@ -145,7 +145,7 @@
 	must.NoError(t, err)
 	must.NoError(t, response.Body.Close())
 	must.Eq(t, http.StatusOK, response.StatusCode)
-	_, body := m.nodes[0].worker.last()
+	_, body := m.nodes[0].worker.lastRequest()
 	must.True(t, body == text)
 }
 
@@ -258,7 +258,7 @@
 				route.Targets[0].Endpoints = endpoints
 			}
 			if own == 1 {
-				view.Local.Lapsed, view.Local.Until = true, until
+				view.Local.Lapsed, view.Local.AcceptedUntil = true, until
 			}
 		}
 	}
@@ -270,7 +270,7 @@
 	lapse(time.Now().Add(time.Hour))
 	must.Eq(t, http.StatusOK, status())
 	view, _ := m.nodes[1].holder.Current(time.Now())
-	view.Local.Until = time.Now()
+	view.Local.AcceptedUntil = time.Now()
 	must.Eq(t, http.StatusServiceUnavailable, status())
 	must.Eq(t, 1, m.runs())
 	m.nodes[1].in.Retain(true)
@@ -303,7 +303,7 @@
 		{0, 10 * time.Second, http.StatusServiceUnavailable},      // the caller's deadline does not fit
 	} {
 		now := time.Now()
-		m.nodes[0].out.LeaveBy(now.Add(step.strict), now.Add(step.end))
+		m.nodes[0].out.StopBy(now.Add(step.strict), now.Add(step.end))
 		response, _, err := m.call("GET", "/lookup/", "")
 		must.NoError(t, err)
 		must.Eq(t, step.status, response.StatusCode)
@@ -327,7 +327,7 @@
 		statuses <- response.StatusCode
 	}()
 	waitFor(t, func() bool { return m.runs() == 1 })
-	m.nodes[0].out.End()
+	m.nodes[0].out.CancelRunning()
 	must.Eq(t, http.StatusBadGateway, <-statuses)
 }
 
@@ -411,7 +411,7 @@
 				m.nodes[0].out.budget = newServiceBudget(Limits{})
 			}
 			if name == "stopping" { // an abandoned attempt would count as cut
-				m.nodes[0].out.LeaveBy(time.Now().Add(time.Hour), time.Now().Add(time.Hour))
+				m.nodes[0].out.StopBy(time.Now().Add(time.Hour), time.Now().Add(time.Hour))
 			}
 			release := make(chan struct{})
 			slow := blockedLink(t, m.nodes[1].inbound, release)
@@ -448,11 +448,11 @@
 		view, _ := m.nodes[0].holder.Current(time.Now())
 		view.Local.Slots = 1
 		long := admission.Arrival[*exchange]{Class: admission.Batch, Kind: "long", Deadline: time.Now().Add(time.Hour), Waiter: &exchange{}}
-		earlier, _ := in.admitter.queue.Take(long, time.Now().Add(-time.Second))
+		earlier, _ := in.admitter.queue.Admit(long, time.Now().Add(-time.Second))
 		in.admitter.queue.Done(earlier, time.Now())
-		held, _ := in.admitter.queue.Take(long, time.Now())
+		held, _ := in.admitter.queue.Admit(long, time.Now())
 		if status == http.StatusOK {
-			time.AfterFunc(50*time.Millisecond, func() { in.admitter.done(held) })
+			time.AfterFunc(50*time.Millisecond, func() { in.admitter.release(held) })
 		}
 		response, _, err := m.call("GET", "/lookup/", "")
 		must.NoError(t, err)
@@ -499,16 +499,16 @@
 	view, _ := node.holder.Current(time.Now())
 	view.Local.Slots = 1
 	long := admission.Arrival[*exchange]{Class: admission.Batch, Kind: "long", Deadline: time.Now().Add(time.Hour), Waiter: &exchange{}}
-	earlier, _ := node.in.admitter.queue.Take(long, time.Now().Add(-time.Second))
+	earlier, _ := node.in.admitter.queue.Admit(long, time.Now().Add(-time.Second))
 	node.in.admitter.queue.Done(earlier, time.Now())
-	held, _ := node.in.admitter.queue.Take(long, time.Now())
+	held, _ := node.in.admitter.queue.Admit(long, time.Now())
 
 	response, _, err := m.call("GET", "/lookup/", "", testProtocol.Deadline, "20000")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
 	must.NotEq(t, "", response.Header.Get("Retry-After"))
 
-	time.AfterFunc(50*time.Millisecond, func() { node.in.admitter.done(held) })
+	time.AfterFunc(50*time.Millisecond, func() { node.in.admitter.release(held) })
 	response, _, err = m.call("GET", "/lookup/", "", testProtocol.Deadline, "15000")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode)
--- a/internal/traffic/drain_test.go
+++ b/internal/traffic/drain_test.go
@@ -81,10 +81,10 @@
 
 func TestWaitEndsWithTheLastRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGate()
-		must.True(t, g.enter())
+		g := newInFlightTracker()
+		must.True(t, g.begin())
 		g.drain()
-		must.False(t, g.enter())
+		must.False(t, g.begin())
 		ended := false
 		go func() {
 			_ = g.wait(t.Context())
@@ -92,7 +92,7 @@
 		}()
 		synctest.Wait()
 		must.False(t, ended)
-		g.leave()
+		g.end()
 		synctest.Wait()
 		must.True(t, ended)
 	})
--- a/internal/traffic/ending_log.go
+++ b/internal/traffic/ending_log.go
@@ -39,7 +39,7 @@
 
 // logRetry logs a failed attempt that may be followed by another.
 func (d *dispatch) logRetry(failure *result) {
-	if failure.cause == causeFull || failure.cause == causeQueue || failure.cause == causeLimit || failure.cause == causeLeaving || failure.cause == causeRefused && !failure.arrived {
+	if failure.cause == causeFull || failure.cause == causeQueue || failure.cause == causeLimit || failure.cause == causeLeaving || failure.cause == causeRefused && !failure.reachedWorker {
 		return // the request reached no worker
 	}
 	fields := d.x.logFields("outbound")
@@ -68,13 +68,13 @@
 		fields["tenant"] = x.tenant.name
 		fields["key"] = x.tenant.tag
 	}
-	if x.knowledgeAge > 0 {
-		fields["knowledge_age_ms"] = x.knowledgeAge.Milliseconds()
+	if x.configurationAge > 0 {
+		fields["knowledge_age_ms"] = x.configurationAge.Milliseconds()
 	}
 	if x.instance != "" {
 		fields["instance"] = x.instance
 	}
-	if x.class.returned {
+	if x.class.callerRetried {
 		fields["returned"] = true
 	}
 	if x.offers > 0 {
--- a/internal/traffic/exchange.go
+++ b/internal/traffic/exchange.go
@@ -22,45 +22,45 @@
 	view    *snapshot.View
 	route   *snapshot.Route
 
-	id       string // request id, the same on all levels of the call tree
-	attempt  string // id of this attempt of the caller's node; set by inbound
-	deadline time.Time
-	given    time.Duration // time that the caller allows, regardless of the route; 0: none given
-	budget   int           // retries left, in thousandths
-	depth    int           // level in the call tree, from 0
-	body     body
+	id            string // request id, the same on all levels of the call tree
+	attempt       string // id of this attempt of the caller's node; set by inbound
+	deadline      time.Time
+	callerTimeout time.Duration // time that the caller allows, regardless of the route; 0: none given
+	budget        int           // retries left, in thousandths
+	depth         int           // level in the call tree, from 0
+	body          body
 
 	// With a catalog.
-	closing           bool                     // whether the caller's connection is closed after the response
+	closeConnection   bool                     // whether the caller's connection is closed after the response
 	offers            int                      // nodes to which it was offered
 	attempts          int                      // workers to which it was sent
 	onAck             func(took time.Duration) // called at each acknowledgement of the next hop, with the time since the request was sent; may be nil
 	onAckTimeout      func()                   // called instead of abandoning an unresponsive node; nil: the node is abandoned
 	instance          string                   // id of the instance that is to run the request
 	tenant            credential
-	knowledgeAge      time.Duration // age of this node's configuration, where it decided whether a caller is accepted; 0: it did not
+	configurationAge  time.Duration // age of this node's configuration, where it decided whether a caller is accepted; 0: it did not
 	caller            string        // service beside the node that received the request
 	class             class
-	internal          bool             // whether its route is called only by runs of other services, as far as this node has observed
-	sent              time.Time        // when it was sent to the local worker
-	callFailed        bool             // whether calls of the local worker failed while it ran the request
-	repeat            bool             // whether a worker has received it before
-	limitReported     workerlimit.Told // limit of the worker, as the caller's node last received it
-	callOfRun         bool             // whether a run of the local worker makes it, as far as this node has observed
-	lastChance        bool             // whether nobody sends it again if it is refused
-	trialOwner        string           // only instance that may run it while it is on trial in the quarantine; "": any
-	protocol          *Protocol        // of the callers; nil: sliphead's own
-	fromNode          bool             // whether it came from another node of a catalog's mesh
-	elsewhere         bool             // whether the caller's node has another endpoint that seems to be free
-	roundTrip         time.Duration    // round-trip time to the node that it is offered to
-	roundTripMeasured bool             // whether roundTrip was measured rather than assumed
-	rerouteTime       time.Duration    // if there is one: time to reach it; a shorter wait in the queue is better
-	bodyAwaited       bool             // whether the body has not been requested from the sender yet
-	signal            bool             // whether the caller's node waits for an acknowledgement that the request has arrived
+	internal          bool                   // whether its route is called only by runs of other services, as far as this node has observed
+	sent              time.Time              // when it was sent to the local worker
+	callFailed        bool                   // whether calls of the local worker failed while it ran the request
+	repeated          bool                   // whether a worker has received it before
+	limitReported     workerlimit.Advertised // limit of the worker, as the caller's node last received it
+	madeByLocalRun    bool                   // whether a run of the local worker makes it, as far as this node has observed
+	lastAttempt       bool                   // whether nobody sends it again if it is refused
+	trialOwner        string                 // only instance that may run it while it is on trial in the quarantine; "": any
+	protocol          *Protocol              // of the callers; nil: sliphead's own
+	fromNode          bool                   // whether it came from another node of a catalog's mesh
+	hasAlternative    bool                   // whether the caller's node has another endpoint that seems to be free
+	roundTrip         time.Duration          // round-trip time to the node that it is offered to
+	roundTripMeasured bool                   // whether roundTrip was measured rather than assumed
+	rerouteTime       time.Duration          // if there is one: time to reach it; a shorter wait in the queue is better
+	bodyAwaited       bool                   // whether the body has not been requested from the sender yet
+	expectsAck        bool                   // whether the caller's node waits for an acknowledgement that the request has arrived
 
 	wholeUnframed  bool                // whether a response without a length is accepted if its connection was closed without an error
 	concurrentBody bool                // whether a long buffered body is written while the response is read
-	smallAnswer    int64               // responses up to this many bytes are buffered
+	smallResponse  int64               // responses up to this many bytes are buffered
 	load           func() balance.Load // the local worker's load; nil at outbound
 	granted        chan struct{}       // closed when the wait for a slot is decided
 }
@@ -76,20 +76,20 @@
 	sent          bool    // whether the header of the response was forwarded
 	cut           bool    // whether the connection has to be cut because the forwarded response is incomplete
 	final         bool    // whether a lower level of the call tree has already spent its retries
-	arrived       bool    // whether it reached a worker, which then refused it
+	reachedWorker bool    // whether it reached a worker, which then refused it
 	rejected      bool    // whether the worker that it was meant for refused it while accepting others
 	crashedBefore bool    // whether an earlier worker also crashed while running the request
 	answer        *answer // a complete response that is still to be forwarded
 }
 
-// asked returns the content that identifies all copies of the request. The body is empty for a
+// quarantineRequest returns the content that identifies all copies of the request. The body is empty for a
 // streamed one; with a catalog, bodies are buffered.
-func (x *exchange) asked() *quarantine.Request {
+func (x *exchange) quarantineRequest() *quarantine.Request {
 	return &quarantine.Request{Method: x.request.Method, Host: strings.ToLower(hostOf(x.request)), Target: x.request.URL.RequestURI(), Body: x.body.whole}
 }
 
 // fingerprint returns the fingerprint that all copies of the request share.
-func (x *exchange) fingerprint() quarantine.Fingerprint { return x.asked().Fingerprint() }
+func (x *exchange) fingerprint() quarantine.Fingerprint { return x.quarantineRequest().Fingerprint() }
 
 // cause is the bounded metric label under which results are counted.
 type cause string
--- a/internal/traffic/forward.go
+++ b/internal/traffic/forward.go
@@ -54,7 +54,7 @@
 }
 
 // foreignTo reports whether the next hop uses headers other than sliphead's own.
-func (h *hop) foreignTo() bool { return h.protocol != nil && !h.protocol.own() }
+func (h *hop) foreignTo() bool { return h.protocol != nil && !h.protocol.isNative() }
 
 // sets reports whether the hop sets a header.
 func (h *hop) sets(name string) bool {
@@ -77,7 +77,7 @@
 
 // sendByTransport makes one attempt with the transport of net/http.
 func sendByTransport(x *exchange, to *hop, check func(*http.Response) *result) (*answer, *result) {
-	watch := newSending()
+	watch := newWriteTracker()
 	request := outgoing(httptrace.WithClientTrace(x.context, &watch.trace), x, to)
 	response, err := to.transport.RoundTrip(request)
 	if err != nil {
--- a/internal/traffic/hedge.go
+++ b/internal/traffic/hedge.go
@@ -112,7 +112,7 @@
 // mayBeRunning reports whether the node of a pending attempt has acknowledged it, or this node
 // is stopping: abandoning the attempt would then interrupt a worker.
 func (d *dispatch) mayBeRunning() bool {
-	return d.out.leaving() || slices.ContainsFunc(d.pending, func(attempt *pendingAttempt) bool { return attempt.acked.Load() })
+	return d.out.stopping() || slices.ContainsFunc(d.pending, func(attempt *pendingAttempt) bool { return attempt.acked.Load() })
 }
 
 // close cancels the pending attempts and discards their responses.
--- a/internal/traffic/hop.go
+++ b/internal/traffic/hop.go
@@ -12,7 +12,7 @@
 )
 
 // hopHeader carries all data about one attempt between two nodes of a catalog's mesh: a
-// hopRequest on the request, a hopAnswer on the response. It is one short header, because
+// hopRequest on the request, a hopReply on the response. It is one short header, because
 // bytes between zones cost money.
 const hopHeader = "Sliphead-Hop"
 
@@ -20,13 +20,13 @@
 
 // class states how a worker's node is to treat a request.
 type class struct {
-	tenant     int           // priority of its tenant, 0 is served first; 0 without a tenant
-	rank       int           // priority of its route among tenants of the same priority, 0 is served first
-	repeatable bool          // whether it may run more than once
-	patient    bool          // whether it may wait until its deadline rather than its latency objective
-	returned   bool          // whether its caller was refused before, so that a late response is acceptable
-	unlikely   bool          // whether an earlier run of it failed because calls that it depends on failed
-	objective  time.Duration // time left of the latency objective; 0: none
+	tenant            int           // priority of its tenant, 0 is served first; 0 without a tenant
+	rank              int           // priority of its route among tenants of the same priority, 0 is served first
+	repeatable        bool          // whether it may run more than once
+	waitsForDeadline  bool          // whether it may wait until its deadline rather than its latency objective
+	callerRetried     bool          // whether its caller was refused before, so that a late response is acceptable
+	callsFailedBefore bool          // whether an earlier run of it failed because calls that it depends on failed
+	objective         time.Duration // time left of the latency objective; 0: none
 }
 
 // hopRequest is what a caller's node sends to a worker's node.
@@ -44,10 +44,10 @@
 
 // encode joins the fields; texts are escaped.
 func (h hopRequest) encode() string {
-	flags := flag('r', h.class.repeatable) + flag('p', h.class.patient) + flag('b', h.class.returned) + flag('u', h.class.unlikely) + flag('a', h.repeated) + flag('e', h.hasAlternative)
+	flags := flag('r', h.class.repeatable) + flag('p', h.class.waitsForDeadline) + flag('b', h.class.callerRetried) + flag('u', h.class.callsFailedBefore) + flag('a', h.repeated) + flag('e', h.hasAlternative)
 	return strings.Join([]string{
 		h.attempt, url.PathEscape(h.instance), url.PathEscape(h.caller), url.PathEscape(h.route),
-		h.class.priority(), flags, inMilliseconds(h.class.objective), inMilliseconds(h.rerouteTime), h.tenant.encode(),
+		h.class.priority(), flags, formatMilliseconds(h.class.objective), formatMilliseconds(h.rerouteTime), h.tenant.encode(),
 	}, hopSeparator)
 }
 
@@ -70,17 +70,17 @@
 	read := hopRequest{
 		attempt: split[0],
 		class: class{
-			tenant:     tenantPriority,
-			rank:       rank,
-			repeatable: strings.Contains(split[5], "r"),
-			patient:    strings.Contains(split[5], "p"),
-			returned:   strings.Contains(split[5], "b"),
-			unlikely:   strings.Contains(split[5], "u"),
-			objective:  time.Duration(objective) * time.Millisecond,
+			tenant:            tenantPriority,
+			rank:              rank,
+			repeatable:        strings.Contains(split[5], "r"),
+			waitsForDeadline:  strings.Contains(split[5], "p"),
+			callerRetried:     strings.Contains(split[5], "b"),
+			callsFailedBefore: strings.Contains(split[5], "u"),
+			objective:         time.Duration(objective) * time.Millisecond,
 		},
 		hasAlternative: strings.Contains(split[5], "e"),
 		repeated:       strings.Contains(split[5], "a"),
-		rerouteTime:    milliseconds(split[7]),
+		rerouteTime:    parseMilliseconds(split[7]),
 	}
 	tenant, tenantSound := decodeCredential(split[8])
 	read.tenant = tenant
@@ -115,8 +115,8 @@
 	return tenant, rank, err == nil
 }
 
-// hopAnswer is what a worker's node reports to the caller's node.
-type hopAnswer struct {
+// hopReply is what a worker's node reports to the caller's node.
+type hopReply struct {
 	attempt       string
 	outcome       outcome.Outcome
 	reachedWorker bool // whether the worker itself refused
@@ -138,16 +138,16 @@
 func encodeHopReply(x *exchange, reported outcome.Outcome, ended *result) string {
 	flags := string(reported[:1]) + flag('i', x.internal) + flag('d', x.callFailed)
 	if ended != nil {
-		flags += flag('j', ended.rejected) + flag('w', ended.arrived) + flag('f', ended.cause == causeFull) + flag('q', ended.cause == causeQuarantine) + flag('k', ended.cause == causeKey) + flag('c', ended.crashedBefore) + flag('l', ended.cause == causeLimit) + flag('o', ended.cause == causeLeaving)
+		flags += flag('j', ended.rejected) + flag('w', ended.reachedWorker) + flag('f', ended.cause == causeFull) + flag('q', ended.cause == causeQuarantine) + flag('k', ended.cause == causeKey) + flag('c', ended.crashedBefore) + flag('l', ended.cause == causeLimit) + flag('o', ended.cause == causeLeaving)
 	}
 	return strings.Join([]string{x.attempt, flags, encodeLoad(x.load())}, hopSeparator)
 }
 
 // decodeHopReply parses the output of encodeHopReply.
-func decodeHopReply(text string) hopAnswer {
+func decodeHopReply(text string) hopReply {
 	attempt, rest, _ := strings.Cut(text, hopSeparator)
 	flags, load, _ := strings.Cut(rest, hopSeparator)
-	read := hopAnswer{attempt: attempt, outcome: outcome.Unknown, reachedWorker: strings.Contains(flags, "w"), full: strings.Contains(flags, "f"), quarantined: strings.Contains(flags, "q"), keyWithdrawn: strings.Contains(flags, "k"), crashedBefore: strings.Contains(flags, "c")}
+	read := hopReply{attempt: attempt, outcome: outcome.Unknown, reachedWorker: strings.Contains(flags, "w"), full: strings.Contains(flags, "f"), quarantined: strings.Contains(flags, "q"), keyWithdrawn: strings.Contains(flags, "k"), crashedBefore: strings.Contains(flags, "c")}
 	switch {
 	case strings.HasPrefix(flags, "a"):
 		read.outcome = outcome.Answered
@@ -165,7 +165,7 @@
 
 // refusal returns the failure that a node's reply reports, nil if the reply carries a worker's
 // response.
-func (h hopAnswer) refusal(response *http.Response) *result {
+func (h hopReply) refusal(response *http.Response) *result {
 	if h.outcome == outcome.Answered {
 		return nil
 	}
@@ -174,8 +174,8 @@
 		status:        response.StatusCode,
 		cause:         causeRefused,
 		remedy:        "send it again later, the workers are busy or leave",
-		retryAfter:    h.load.Wait + h.load.Link + h.load.Closed,
-		arrived:       h.reachedWorker,
+		retryAfter:    h.load.Wait + h.load.Link + h.load.PausedFor,
+		reachedWorker: h.reachedWorker,
 		rejected:      h.rejected,
 		crashedBefore: h.crashedBefore,
 	}
--- a/internal/traffic/hop_bytes.go
+++ b/internal/traffic/hop_bytes.go
@@ -33,7 +33,7 @@
 	switch {
 	case endpoint.Zone == out.config.Zone:
 		return distanceSameZone
-	case balance.IsFar(out.config.Zone, out.config.Region, &endpoint):
+	case balance.IsRemote(out.config.Zone, out.config.Region, &endpoint):
 		return distanceOtherRegion
 	default:
 		return distanceSameRegion
--- a/internal/traffic/in_flight.go
+++ b/internal/traffic/in_flight.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// gate counts the requests in flight and rejects new ones once draining. It is safe for
+// inFlightTracker counts the requests in flight and rejects new ones once draining. It is safe for
 // concurrent use.
-type gate struct {
+type inFlightTracker struct {
 	mutex    sync.Mutex
 	draining bool
 	inFlight int
 	empty    chan struct{} // closed when draining and nothing is in flight
 }
 
-func newGate() *gate { return &gate{empty: make(chan struct{})} }
+func newInFlightTracker() *inFlightTracker { return &inFlightTracker{empty: make(chan struct{})} }
 
-// enter counts a new request. It returns false when draining.
-func (g *gate) enter() bool {
+// begin counts a new request. It returns false when draining.
+func (g *inFlightTracker) begin() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.draining {
@@ -27,15 +27,15 @@
 	return true
 }
 
-// leave ends a request for which enter returned true.
-func (g *gate) leave() {
+// end ends a request for which begin returned true.
+func (g *inFlightTracker) end() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.inFlight--
 	g.closeWhenEmpty()
 }
 
-func (g *gate) drain() {
+func (g *inFlightTracker) drain() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.draining {
@@ -45,20 +45,20 @@
 	g.closeWhenEmpty()
 }
 
-func (g *gate) closeWhenEmpty() {
+func (g *inFlightTracker) closeWhenEmpty() {
 	if g.draining && g.inFlight == 0 {
 		close(g.empty)
 	}
 }
 
-func (g *gate) count() int {
+func (g *inFlightTracker) count() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.inFlight
 }
 
 // wait blocks until draining has begun and no request is in flight, or until ctx ends.
-func (g *gate) wait(ctx context.Context) error {
+func (g *inFlightTracker) wait(ctx context.Context) error {
 	select {
 	case <-g.empty:
 		return nil
--- a/internal/traffic/inbound.go
+++ b/internal/traffic/inbound.go
@@ -13,45 +13,45 @@
 
 // Inbound forwards requests from other nodes to the local worker. It is safe for concurrent use.
 type Inbound struct {
-	config       Config
-	requests     *gate
-	admitter     *admitter
-	worker       *workerLink
-	metrics      *metrics
-	capacityView atomic.Pointer[snapshot.View] // view that slots and connections were last taken from
-	handle       stage
-	gone         atomic.Pointer[string] // the last instance that the worker denied being, by 421 Misdirected Request
-	leaveNotice  atomic.Pointer[leaveNotice]
-	runs         *workerRuns
-	nested       *nestedCalls
-	charge       func(service string, arrivals float64) // deducts arrivals from the retry budget of the same node's outbound handler; nil: there is none
-	retains      atomic.Bool                            // whether requests are still accepted for a worker whose catalog record has expired
+	config           Config
+	requests         *inFlightTracker
+	admitter         *admitter
+	worker           *workerLink
+	metrics          *metrics
+	capacityView     atomic.Pointer[snapshot.View] // view that slots and connections were last taken from
+	handle           stage
+	disownedInstance atomic.Pointer[string] // the last instance that the worker denied being, by 421 Misdirected Request
+	leaveNotice      atomic.Pointer[leaveNotice]
+	runs             *workerRuns
+	nested           *nestedCalls
+	charge           func(service string, arrivals float64) // deducts arrivals from the retry budget of the same node's outbound handler; nil: there is none
+	retains          atomic.Bool                            // whether requests are still accepted for a worker whose catalog record has expired
 }
 
 // NewInbound returns the handler of the inbound listener. Zero fields of the configuration
 // take their defaults; Holder is required.
 func NewInbound(config Config) *Inbound {
 	config = config.withDefaults()
-	in := &Inbound{config: config, requests: newGate()}
+	in := &Inbound{config: config, requests: newInFlightTracker()}
 	in.admitter = newAdmitter(config.Service, config.Limits)
 	in.worker = newWorkerLink(config)
 	in.runs = newWorkerRuns()
 	in.nested = newNestedCalls()
 	in.metrics = newMetrics(config, "inbound", gauges{inFlight: in.requests.count, queued: in.admitter.waiting})
 	in.registerLimit()
-	in.handle = pipe(in.forward, in.classify, limitDepth(config.Limits.MaxDepth), limitTime, readBody(&in.config.Limits), in.admitter.admit, in.claim)
-	if !config.Protocol.own() {
-		in.handle = pipe(in.forward, in.classify, limitTime, in.checkColdCapacity, in.paceBody, in.admitter.admit, in.stillLocal, in.takeColdCapacity, readBody(&in.config.Limits), in.stillLocal, in.refuseQuarantined)
+	in.handle = pipe(in.forward, in.classify, limitDepth(config.Limits.MaxDepth), applyDeadline, readBody(&in.config.Limits), in.admitter.admit, in.claim)
+	if !config.Protocol.isNative() {
+		in.handle = pipe(in.forward, in.classify, applyDeadline, in.checkColdCapacity, in.paceBody, in.admitter.admit, in.stillLocal, in.takeColdCapacity, readBody(&in.config.Limits), in.stillLocal, in.refuseQuarantined)
 	}
 	return in
 }
 
 // serveLocal runs a request that the outbound handler of the same node passes on directly.
 func (in *Inbound) serveLocal(x *exchange) result {
-	if !in.requests.enter() {
+	if !in.requests.begin() {
 		return refuse(causeDraining, time.Second, "send it again, another worker will take it")
 	}
-	defer in.requests.leave()
+	defer in.requests.end()
 	x.load = func() balance.Load { return in.admitter.load(x) }
 	x.wholeUnframed = true
 	if refused := in.checkLocal(x); refused != nil {
@@ -65,33 +65,33 @@
 // ServeHTTP implements http.Handler.
 func (in *Inbound) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	x := &exchange{
-		writer:      writer,
-		request:     request,
-		context:     request.Context(),
-		started:     time.Now(),
-		id:          get(request.Header, outcome.RequestID),
-		attempt:     get(request.Header, attemptHeader),
-		budget:      number(request.Header, outcome.RetryBudget, 0),
-		depth:       number(request.Header, outcome.Depth, 0),
-		smallAnswer: in.config.Limits.SmallAnswer,
-		elsewhere:   hasHeader(request.Header, elsewhereHeader),
-		bodyAwaited: request.Header.Get("Expect") != "",
-
-		concurrentBody: !in.config.Protocol.own(),
-		wholeUnframed:  !in.config.Protocol.own(),
+		writer:         writer,
+		request:        request,
+		context:        request.Context(),
+		started:        time.Now(),
+		id:             get(request.Header, outcome.RequestID),
+		attempt:        get(request.Header, attemptHeader),
+		budget:         number(request.Header, outcome.RetryBudget, 0),
+		depth:          number(request.Header, outcome.Depth, 0),
+		smallResponse:  in.config.Limits.SmallResponse,
+		hasAlternative: hasHeader(request.Header, alternativeHeader),
+		bodyAwaited:    request.Header.Get("Expect") != "",
+
+		concurrentBody: !in.config.Protocol.isNative(),
+		wholeUnframed:  !in.config.Protocol.isNative(),
 	}
 	x.load = func() balance.Load { return in.admitter.load(x) }
-	if !in.config.Protocol.own() {
+	if !in.config.Protocol.isNative() {
 		in.beginInstance(x)
 	}
-	if in.config.Seen != nil {
-		in.config.Seen(remoteHost(request))
+	if in.config.ObservePeer != nil {
+		in.config.ObservePeer(remoteHost(request))
 	}
-	if !in.requests.enter() {
+	if !in.requests.begin() {
 		in.metrics.conclude(x, refuse(causeDraining, time.Second, "send it again, another worker will take it"))
 		return
 	}
-	defer in.requests.leave()
+	defer in.requests.end()
 	in.metrics.conclude(x, in.handle(x))
 }
 
@@ -126,7 +126,7 @@
 		if !current {
 			return refuse(causeLease, time.Second, "send it again, this node has no confirmed configuration")
 		}
-		if !in.config.Protocol.own() {
+		if !in.config.Protocol.isNative() {
 			return in.classifyInstance(x, view, next)
 		}
 		route := view.Route(get(x.request.Header, outcome.Route))
@@ -142,7 +142,7 @@
 
 // workerFields returns the header fields added to the request sent to the worker.
 func (in *Inbound) workerFields(x *exchange) []field {
-	if in.config.Protocol.own() {
+	if in.config.Protocol.isNative() {
 		return append(x.contextFields(), field{attemptHeader, x.attempt})
 	}
 	return in.config.Protocol.workerFields(x)
@@ -204,7 +204,7 @@
 // the worker's own refusal: status 503, outcome not-run and the attempt's id. Without the
 // attempt's id the response may be one that the worker copied from another service.
 func (in *Inbound) checkWorker(x *exchange, response *http.Response) *result {
-	if !in.config.Protocol.own() {
+	if !in.config.Protocol.isNative() {
 		return in.checkInstance(x, response)
 	}
 	echoed := get(response.Header, attemptHeader)
--- a/internal/traffic/instance.go
+++ b/internal/traffic/instance.go
@@ -28,7 +28,7 @@
 	protocol := &in.config.Protocol
 	x.id = get(x.request.Header, protocol.RequestID)
 	x.fromNode = true
-	x.signal = true
+	x.expectsAck = true
 	received, ok := decodeHopRequest(get(x.request.Header, hopHeader))
 	if !ok {
 		return
@@ -38,10 +38,10 @@
 	x.caller = received.caller
 	x.tenant = received.tenant
 	x.class = received.class
-	x.elsewhere = received.hasAlternative
+	x.hasAlternative = received.hasAlternative
 	x.rerouteTime = received.rerouteTime
-	x.repeat = received.repeated
-	x.limitReported = readLimitReported(x.request.Header[limitHeader])
+	x.repeated = received.repeated
+	x.limitReported = parseReportedLimit(x.request.Header[limitHeader])
 	x.route = routeOf(received.route, received.class)
 	x.request.Header[outcome.Deadline] = x.request.Header[protocol.Deadline]
 }
@@ -62,11 +62,11 @@
 // or whose zone is evacuated.
 func (in *Inbound) checkLocal(x *exchange) *result {
 	local := x.view.Local
-	switch in.saysItLeaves(x.instance) {
-	case leavesForGood:
+	switch in.leaveStateOf(x.instance) {
+	case certainlyLeaving:
 		refused := refuse(causeLeaving, 0, "send it to another worker, this one leaves")
 		return &refused
-	case leavesMaybe:
+	case maybeLeaving:
 		refused := refuse(causeNotLocal, time.Second, "send it again, the worker of this node may be leaving")
 		return &refused
 	}
@@ -81,7 +81,7 @@
 		return &refused
 	}
 	if x.tenant.withdrawnBy(x.view) {
-		if refused := in.config.loseTenant(x, route); refused != nil {
+		if refused := in.config.dropTenant(x, route); refused != nil {
 			return refused
 		}
 	}
@@ -93,7 +93,7 @@
 // observed. A worker without a record is sent requests for as long as a draining one, and
 // beyond that while this node retains it.
 func (in *Inbound) lapsed(local snapshot.Local) bool {
-	return local.Lapsed && clock.Now().After(local.Until) && !in.retains.Load()
+	return local.Lapsed && clock.Now().After(local.AcceptedUntil) && !in.retains.Load()
 }
 
 // Retain sets whether this node continues to serve a worker whose record was removed. It is
@@ -108,7 +108,7 @@
 // misdirected reports whether the worker has responded that it is another instance. Instance
 // ids are never reused, so this stays true.
 func (in *Inbound) misdirected(instance string) bool {
-	misdirectedID := in.gone.Load()
+	misdirectedID := in.disownedInstance.Load()
 	return misdirectedID != nil && *misdirectedID == instance
 }
 
@@ -137,7 +137,7 @@
 		in.admitter.resize(local.Slots)
 	}
 	if local.Connections > 0 {
-		in.worker.bound(local.Connections)
+		in.worker.setMaxConnections(local.Connections)
 	}
 }
 
@@ -149,14 +149,14 @@
 		return foreign()
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest {
-		in.gone.Store(&x.instance)
+		in.disownedInstance.Store(&x.instance)
 	}
 	if protocol.workerRefused(response) {
 		refused := refuse(causeShed, time.Second, "send it again later, the worker does not take it")
-		refused.arrived = true
+		refused.reachedWorker = true
 		refused.rejected = response.StatusCode != http.StatusMisdirectedRequest
 		if refused.rejected {
-			in.noteReport(x, response)
+			in.recordReport(x, response)
 		}
 		return &refused
 	}
@@ -166,7 +166,7 @@
 		return foreign()
 	}
 	if !unsigned {
-		in.noteReport(x, response)
+		in.recordReport(x, response)
 	}
 	return nil
 }
--- a/internal/traffic/keepers_test.go
+++ b/internal/traffic/keepers_test.go
@@ -76,7 +76,7 @@
 	f.holder.Store(view)
 	f.holder.Renew(time.Now().Add(time.Hour))
 	for index := range fleetEdges {
-		edge := NewOutbound(Config{Zone: fmt.Sprintf("z%d", index), Holder: f.holder, Edge: true, Dial: f.pipes.dial, Logger: quiet(), Random: rand.NewPCG(uint64(index), 1)})
+		edge := NewOutbound(Config{Zone: fmt.Sprintf("z%d", index), Holder: f.holder, Edge: true, Dial: f.pipes.dial, Logger: discardLogger(), Random: rand.NewPCG(uint64(index), 1)})
 		f.edges = append(f.edges, edge)
 		f.pipes.serve(t, fmt.Sprintf("edge-%d:80", index), NewServer(edge, Limits{}))
 	}
@@ -103,14 +103,14 @@
 	node := &keeperNode{worker: worker, name: fmt.Sprintf("%s#%d", worker, f.started)}
 	node.keeper = claim.NewKeeper(claim.KeeperConfig{
 		Config: claim.Config{
-			Node: node.name, Worker: worker, KeyLife: 10 * time.Minute, MaxClaim: 2 * time.Second, Retry: 200 * time.Millisecond,
+			Node: node.name, Worker: worker, KeyLife: 10 * time.Minute, MaxClaim: 2 * time.Second, RetryInterval: 200 * time.Millisecond,
 			Since: f.since, ClockSkew: 100 * time.Millisecond, Random: rand.New(rand.NewPCG(uint64(f.started), 2)),
 		},
 		Send: func(outgoing wire.Outgoing) { f.deliver(worker, outgoing) },
 	})
 	node.in = NewInbound(Config{
 		Node: node.name, Holder: f.holder, Claims: node.keeper, Worker: worker, WorkerAddress: "worker-" + worker,
-		Dial: f.pipes.dial, Logger: quiet(), Random: rand.NewPCG(uint64(f.started), 3),
+		Dial: f.pipes.dial, Logger: discardLogger(), Random: rand.NewPCG(uint64(f.started), 3),
 	})
 	node.server = NewServer(node.in, Limits{})
 	running, end := context.WithCancel(context.Background())
--- a/internal/traffic/keys_test.go
+++ b/internal/traffic/keys_test.go
@@ -38,7 +38,7 @@
 	age := &atomic.Int64{}
 	for _, config := range []*Config{&m.nodes[node].out.config, &m.nodes[node].in.config} {
 		config.Limits.KeysInForce = 2 * time.Second
-		config.KnowledgeAge = func() time.Duration { return time.Duration(age.Load()) }
+		config.ConfigurationAge = func() time.Duration { return time.Duration(age.Load()) }
 	}
 	return age
 }
@@ -98,7 +98,7 @@
 		withdraw := sync.OnceFunc(func() { m.publishTenants(0, 2, []catalog.Tenant{}) })
 		for node := range m.nodes {
 			m.publishTenants(node, 1, pressTenant())
-			m.nodes[node].in.config.Seen = func(string) {
+			m.nodes[node].in.config.ObservePeer = func(string) {
 				offers.Add(1)
 				withdraw()
 			}
@@ -162,7 +162,7 @@
 			continue
 		}
 		must.Eq(t, []int{http.StatusOK, http.StatusOK}, got)
-		last, _ := m.nodes[1].worker.last()
+		last, _ := m.nodes[1].worker.lastRequest()
 		must.SliceEmpty(t, last.Header.Values(testProtocol.Tenant))
 	}
 }
