--- a/internal/traffic/limited.go
+++ b/internal/traffic/limited.go
@@ -13,11 +13,11 @@
 // applyLimit limits the queue to the request rate that the worker reports. All requests to the
 // worker pass this queue, whatever their origin. The caller holds the mutex.
 func (a *admitter) applyLimit(now time.Time) {
-	if limit := a.report.limit.InForce(); limit.Named {
-		a.notify(a.queue.Limit(float64(limit.Rate), now))
+	if limit := a.report.limit.Current(); limit.Limited {
+		a.notify(a.queue.SetRateLimit(float64(limit.Rate), now))
 	} else {
 		a.closedUntil = [len(a.closedUntil)]time.Time{}
-		a.notify(a.queue.Unlimit(now))
+		a.notify(a.queue.RemoveRateLimit(now))
 	}
 	a.scheduleFill(now)
 }
@@ -34,14 +34,14 @@
 // time for which callers' nodes are asked to send no more requests of that urgency, so that few
 // requests are sent to a node only to be refused there. The caller holds the mutex.
 func (a *admitter) refuseLimited(x *exchange, wait time.Duration, now time.Time) result {
-	a.closedUntil.Book(x.class.urgency(), a.queue.Interval(), now)
+	a.closedUntil.Extend(x.class.urgency(), a.queue.GrantInterval(), now)
 	return refuse(causeLimit, wait, "send it again later, the worker is in need and takes few requests")
 }
 
 // scheduleFill sets the timer for the next queued request that waits for the rate limit rather
 // than for a slot. The caller holds the mutex.
 func (a *admitter) scheduleFill(now time.Time) {
-	wait := a.queue.NextTurn(now)
+	wait := a.queue.NextGrantWait(now)
 	switch {
 	case wait <= 0:
 	case a.fillTimer == nil:
@@ -59,12 +59,12 @@
 	a.scheduleFill(now)
 }
 
-// readLimitReported parses the limit that the caller's node has received. An invalid value
+// parseReportedLimit parses the limit that the caller's node has received. An invalid value
 // counts as none.
-func readLimitReported(values []string) workerlimit.Told {
+func parseReportedLimit(values []string) workerlimit.Advertised {
 	limit, err := workerlimit.Parse(values)
 	if err != nil {
-		return workerlimit.Told{} // nodes send only values that Parse accepts, so a node did not write it
+		return workerlimit.Advertised{} // nodes send only values that Parse accepts, so a node did not write it
 	}
 	return limit
 }
--- a/internal/traffic/limited_test.go
+++ b/internal/traffic/limited_test.go
@@ -38,7 +38,7 @@
 	m := newCatalogMesh(t, 3)
 	limited := m.nodes[0]
 	const limit = 10
-	limited.worker.say(limitField(limit))
+	limited.worker.setResponseFields(limitField(limit))
 	began := time.Now()
 	for number := range 90 {
 		m.entry = number % len(m.nodes)
@@ -47,7 +47,7 @@
 	allowed := 1 + 1 + limit/2 + limit*time.Since(began).Seconds() // the request whose response first reported the limit, and a burst
 	must.LessEq(t, int(allowed)+1, limited.worker.runs())
 	must.True(t, limited.in.Limit().Limited)
-	limited.worker.say("")
+	limited.worker.setResponseFields("")
 	m.entry = 0
 	eventually(t, func() bool {
 		must.Eq(t, http.StatusOK, m.sendOrder())
@@ -68,7 +68,7 @@
 	m := newCatalogMesh(t, 3)
 	m.publish(func(route *snapshot.Route) { route.Objective = 50 * time.Millisecond })
 	for _, node := range m.nodes {
-		node.worker.say(limitField(0.5))
+		node.worker.setResponseFields(limitField(0.5))
 	}
 	const requests = 100
 	served, refused := 0, 0
@@ -118,7 +118,7 @@
 	m := newCatalogMesh(t, 2)
 	m.onlyFirstWorker(1)
 	limited := m.nodes[0]
-	limited.worker.say(limitField(100))
+	limited.worker.setResponseFields(limitField(100))
 	m.entry = 1
 	must.Eq(t, http.StatusOK, m.sendOrder())
 	resetReport(limited.in)
@@ -146,12 +146,12 @@
 func TestLimitEndsWithItsInstance(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	in := m.nodes[0].in
-	m.nodes[0].worker.say(limitField(1))
+	m.nodes[0].worker.setResponseFields(limitField(1))
 	must.Eq(t, http.StatusOK, m.sendOrder())
 	must.True(t, in.Limit().Limited)
-	in.Recorded(snapshot.Local{Instance: "another"})
+	in.UpdateLocal(snapshot.Local{Instance: "another"})
 	must.False(t, in.Limit().Limited)
-	must.Eq(t, 0, in.admitter.queue.Interval())
+	must.Eq(t, 0, in.admitter.queue.GrantInterval())
 }
 
 // An invalid limit must neither set nor remove a limit, and is logged once.
@@ -161,14 +161,14 @@
 	in, worker := m.nodes[0].in, m.nodes[0].worker
 	in.config.Logger = logging.New(&lines, log.InfoLevel)
 	for _, text := range []string{"-1", "NaN", "", "7,5", strings.Repeat("9", 400)} {
-		worker.say(testProtocol.Limit + ": " + text + "\r\n")
+		worker.setResponseFields(testProtocol.Limit + ": " + text + "\r\n")
 		must.Eq(t, http.StatusOK, m.sendOrder())
 		must.False(t, in.Limit().Limited, must.Sprint(text))
 	}
-	worker.say(limitField(1000))
+	worker.setResponseFields(limitField(1000))
 	must.Eq(t, http.StatusOK, m.sendOrder())
 	for _, fields := range []string{testProtocol.Limit + ": none\r\n", limitField(5) + limitField(5)} {
-		worker.say(fields)
+		worker.setResponseFields(fields)
 		must.Eq(t, http.StatusOK, m.sendOrder())
 		must.Eq(t, WorkerLimit{Limited: true, PerSecond: 1000}, withoutTimes(in.Limit()))
 	}
@@ -187,19 +187,19 @@
 func TestRejectionReportsLimitAndLeaving(t *testing.T) {
 	m := newCatalogMesh(t, 2)
 	worker := m.nodes[0].worker
-	worker.say(limitField(1))
+	worker.setResponseFields(limitField(1))
 	worker.script = []string{"shed"}
 	must.Eq(t, http.StatusOK, m.sendOrder()) // the other worker runs it
 	must.Eq(t, 0, worker.runs())
 	must.True(t, m.nodes[0].in.Limit().Limited)
 
 	other := m.nodes[1].worker
-	other.say(testProtocol.Leaving + ": 1\r\n")
+	other.setResponseFields(testProtocol.Leaving + ": 1\r\n")
 	other.script = []string{"shed"}
 	m.entry = 1
 	runs := other.runs()
 	m.sendOrder()
-	must.Eq(t, leavesForGood, m.nodes[1].in.saysItLeaves(other.id))
+	must.Eq(t, certainlyLeaving, m.nodes[1].in.leaveStateOf(other.id))
 	m.sendOrder()
 	must.Eq(t, runs, other.runs())
 }
@@ -215,19 +215,19 @@
 		view, _ := node.holder.Current(time.Now())
 		next := *view
 		next.Local.Instance = instance
-		node.in.Recorded(next.Local)
+		node.in.UpdateLocal(next.Local)
 		for _, route := range next.Routes {
 			route.Targets[0].Endpoints[0].Worker = instance
 		}
 		node.holder.Store(&next)
 	}
 	startAs("i-0@1")
-	node.worker.say(testProtocol.Leaving + ": 1\r\n")
+	node.worker.setResponseFields(testProtocol.Leaving + ": 1\r\n")
 	must.Eq(t, http.StatusOK, m.sendOrder())
 	startAs("i-0@2")
 	must.Eq(t, http.StatusServiceUnavailable, m.sendOrder())
 	must.Eq(t, 1, node.worker.runs())
-	node.worker.say("")
+	node.worker.setResponseFields("")
 	notice := *node.in.leaveNotice.Load()
 	notice.expires = time.Now()
 	node.in.leaveNotice.Store(&notice) // as after leaveNoticeCarryover
--- a/internal/traffic/load.go
+++ b/internal/traffic/load.go
@@ -17,7 +17,7 @@
 func encodeLoad(load balance.Load) string {
 	parts := []string{
 		strconv.Itoa(load.Busy), strconv.Itoa(load.Slots), strconv.Itoa(load.Queued),
-		inMilliseconds(load.Wait), inMilliseconds(load.Run), inMilliseconds(load.Link), inMilliseconds(load.Closed), formatPercent(load.Rejects),
+		formatMilliseconds(load.Wait), formatMilliseconds(load.Run), formatMilliseconds(load.Link), formatMilliseconds(load.PausedFor), formatPercent(load.RejectShare),
 	}
 	return strings.Join(parts[:encodedParts(load)], loadSeparator)
 }
@@ -27,9 +27,9 @@
 func encodedParts(load balance.Load) int {
 	const counts, forecast, link, closed, rejects = 3, 5, 6, 7, 8
 	switch {
-	case load.Rejects > 0:
+	case load.RejectShare > 0:
 		return rejects
-	case load.Closed > 0:
+	case load.PausedFor > 0:
 		return closed
 	case load.Link > 0:
 		return link
@@ -55,7 +55,7 @@
 	return float64(count) / percent
 }
 
-func inMilliseconds(duration time.Duration) string {
+func formatMilliseconds(duration time.Duration) string {
 	return strconv.FormatInt(duration.Milliseconds(), 10)
 }
 
@@ -68,7 +68,7 @@
 	run, rest, _ := strings.Cut(rest, loadSeparator)
 	link, rest, _ := strings.Cut(rest, loadSeparator)
 	closed, rejects, _ := strings.Cut(rest, loadSeparator)
-	load := balance.Load{Wait: milliseconds(wait), Run: milliseconds(run), Link: milliseconds(link), Closed: milliseconds(closed), Rejects: parsePercent(rejects)}
+	load := balance.Load{Wait: parseMilliseconds(wait), Run: parseMilliseconds(run), Link: parseMilliseconds(link), PausedFor: parseMilliseconds(closed), RejectShare: parsePercent(rejects)}
 	var err error
 	if load.Busy, err = strconv.Atoi(busy); err != nil || !found {
 		return balance.Load{}, false
@@ -82,8 +82,8 @@
 	return load, true
 }
 
-// milliseconds parses a number of milliseconds, or returns 0 if the text is not a number.
-func milliseconds(text string) time.Duration {
+// parseMilliseconds parses a number of milliseconds, or returns 0 if the text is not a number.
+func parseMilliseconds(text string) time.Duration {
 	count, _ := strconv.ParseInt(text, 10, 64)
 	return time.Duration(count) * time.Millisecond
 }
--- a/internal/traffic/load_test.go
+++ b/internal/traffic/load_test.go
@@ -19,8 +19,8 @@
 		}
 		sent := balance.Load{
 			Busy: count.Draw(t, "busy"), Slots: count.Draw(t, "slots"), Queued: count.Draw(t, "queued"),
-			Wait: duration("wait"), Run: duration("run"), Link: duration("link"), Closed: duration("closed"),
-			Rejects: float64(rapid.IntRange(0, percent).Draw(t, "rejects")) / percent,
+			Wait: duration("wait"), Run: duration("run"), Link: duration("link"), PausedFor: duration("closed"),
+			RejectShare: float64(rapid.IntRange(0, percent).Draw(t, "rejects")) / percent,
 		}
 		decoded, valid := parseLoad(encodeLoad(sent))
 		must.True(t, valid)
--- a/internal/traffic/mesh_test.go
+++ b/internal/traffic/mesh_test.go
@@ -66,7 +66,7 @@
 func newMesh(t testing.TB, worker http.HandlerFunc, change func(*Config)) *mesh {
 	t.Helper()
 	m := &mesh{holder: &snapshot.Holder{}}
-	config := Config{Node: "n1", Zone: "z1", Region: "r1", Holder: m.holder, Worker: "w1", Edge: true, Logger: quiet()}
+	config := Config{Node: "n1", Zone: "z1", Region: "r1", Holder: m.holder, Worker: "w1", Edge: true, Logger: discardLogger()}
 	if worker != nil {
 		m.worker = httptest.NewServer(worker)
 		t.Cleanup(m.worker.Close)
@@ -100,7 +100,7 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(30*time.Second), wait.Gap(time.Millisecond)))
 }
 
-func quiet() log.Interface { return &log.Logger{Handler: discard.Default} }
+func discardLogger() log.Interface { return &log.Logger{Handler: discard.Default} }
 
 // testServer is a server of NewServer on the loopback interface.
 type testServer struct {
--- a/internal/traffic/nested.go
+++ b/internal/traffic/nested.go
@@ -32,8 +32,8 @@
 	return &nestedCalls{internalAt: map[string]time.Time{}, calls: map[string]float64{}}
 }
 
-// learn records the time of a node's report that a route is internal; other reports are ignored.
-func (n *nestedCalls) learn(route string, internal bool, now time.Time) {
+// recordInternal records the time of a node's report that a route is internal; other reports are ignored.
+func (n *nestedCalls) recordInternal(route string, internal bool, now time.Time) {
 	if !internal {
 		return
 	}
@@ -53,8 +53,8 @@
 	return found && now.Sub(reported) < internalRetention
 }
 
-// ended records the final status of a call; statuses from 500 are failures.
-func (n *nestedCalls) ended(status int, now time.Time) {
+// recordEnd records the final status of a call; statuses from 500 are failures.
+func (n *nestedCalls) recordEnd(status int, now time.Time) {
 	if status < http.StatusInternalServerError {
 		return
 	}
@@ -63,8 +63,8 @@
 	n.lastFailure = now
 }
 
-// called counts a call to a service.
-func (n *nestedCalls) called(service string) {
+// recordCall counts a call to a service.
+func (n *nestedCalls) recordCall(service string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if len(n.calls) >= maxTrackedRoutes {
@@ -73,8 +73,8 @@
 	n.calls[service]++
 }
 
-// ran counts a request run by the worker.
-func (n *nestedCalls) ran() {
+// recordRun counts a request run by the worker.
+func (n *nestedCalls) recordRun() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.runs++
@@ -87,8 +87,8 @@
 	}
 }
 
-// callsOfRun returns the average number of calls per run, by called service.
-func (n *nestedCalls) callsOfRun() map[string]float64 {
+// callsPerRun returns the average number of calls per run, by called service.
+func (n *nestedCalls) callsPerRun() map[string]float64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	made := make(map[string]float64, len(n.calls))
@@ -101,11 +101,11 @@
 // countRun counts a run that begins at the worker. The calls of a retried run are retries at the
 // services that it calls, so they are charged to this node's retry budgets.
 func (in *Inbound) countRun(x *exchange) {
-	in.nested.ran()
-	if !x.repeat || in.charge == nil {
+	in.nested.recordRun()
+	if !x.repeated || in.charge == nil {
 		return
 	}
-	for service, calls := range in.nested.callsOfRun() {
+	for service, calls := range in.nested.callsPerRun() {
 		in.charge(service, calls)
 	}
 }
@@ -136,34 +136,34 @@
 	a := in.admitter
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.rejects.Note(failure != nil, time.Now())
+	a.rejects.Record(failure != nil, time.Now())
 }
 
-// lastChance reports whether the request will not be retried if it is refused: either a running
+// isLastAttempt reports whether the request will not be retried if it is refused: either a running
 // request waits for it as one of its calls, or an earlier attempt of its caller has failed.
-func (out *Outbound) lastChance(x *exchange) bool {
+func (out *Outbound) isLastAttempt(x *exchange) bool {
 	now := time.Now()
 	if out.nested.internal(x.route.Name, now) {
-		x.callOfRun = true
+		x.madeByLocalRun = true
 		return true
 	}
-	if !out.turned.any(now) {
+	if !out.recentFailures.any(now) {
 		return false
 	}
-	failure, returned := out.turned.find(x.fingerprint(), now)
-	x.class.returned, x.class.unlikely = returned, failure.callsFailed
+	failure, returned := out.recentFailures.find(x.fingerprint(), now)
+	x.class.callerRetried, x.class.callsFailedBefore = returned, failure.callsFailed
 	return returned
 }
 
-// noteEnd records how a request to a service ended at this node.
-func (out *Outbound) noteEnd(x *exchange, service string, ended *result) {
+// recordEnd records how a request to a service ended at this node.
+func (out *Outbound) recordEnd(x *exchange, service string, ended *result) {
 	now := time.Now()
-	if out.local != nil && x.callOfRun {
-		out.local.nested.ended(ended.status, now)
-		out.local.nested.called(service)
+	if out.local != nil && x.madeByLocalRun {
+		out.local.nested.recordEnd(ended.status, now)
+		out.local.nested.recordCall(service)
 	}
-	if ended.status >= http.StatusInternalServerError && !x.lastChance {
-		out.turned.record(x.fingerprint(), failureInfo{callsFailed: x.callFailed}, now)
+	if ended.status >= http.StatusInternalServerError && !x.lastAttempt {
+		out.recentFailures.record(x.fingerprint(), failureInfo{callsFailed: x.callFailed}, now)
 	}
 }
 
--- a/internal/traffic/nested_calls_test.go
+++ b/internal/traffic/nested_calls_test.go
@@ -35,10 +35,10 @@
 
 // A worker that responds that it is another instance counts as a failed endpoint.
 func TestMisdirectedResponseIsAnEndpointFailure(t *testing.T) {
-	misdirected := &result{cause: causeRefused, arrived: true}
-	observation := balance.Observation{Loaded: true, Load: balance.Load{Busy: 0, Slots: 2}}
-	must.True(t, blamesNode(misdirected, observation))
-	must.False(t, blamesNode(&result{cause: causeRefused, arrived: true, rejected: true}, observation))
+	misdirected := &result{cause: causeRefused, reachedWorker: true}
+	observation := balance.Observation{HasLoad: true, Load: balance.Load{Busy: 0, Slots: 2}}
+	must.True(t, countsAgainstNode(misdirected, observation))
+	must.False(t, countsAgainstNode(&result{cause: causeRefused, reachedWorker: true, rejected: true}, observation))
 }
 
 // The mesh must not retry a run whose calls have failed, since it would repeat the calls at a
@@ -56,7 +56,7 @@
 		waitFor(t, func() bool { return m.runs() == 1 })
 		if callFails {
 			for _, node := range m.nodes {
-				node.in.nested.ended(http.StatusServiceUnavailable, time.Now())
+				node.in.nested.recordEnd(http.StatusServiceUnavailable, time.Now())
 			}
 		}
 		for _, node := range m.nodes {
@@ -77,17 +77,17 @@
 	m := newCatalogMesh(t, 1)
 	m.publish(func(route *snapshot.Route) { route.MaxAttempts = 1 })
 	out := m.nodes[0].out
-	must.False(t, out.turned.any(time.Now()))
+	must.False(t, out.recentFailures.any(time.Now()))
 	m.script("shed")
 	_, _, err := m.call("POST", "/order/", "cards")
 	must.NoError(t, err)
-	must.True(t, out.lastChance(requestWithBody("cards", 0)))
-	must.False(t, out.lastChance(requestWithBody("letters", 0)))
+	must.True(t, out.isLastAttempt(requestWithBody("cards", 0)))
+	must.False(t, out.isLastAttempt(requestWithBody("letters", 0)))
 }
 
 // The tracked failures must expire, and their number is bounded.
 func TestRecentFailuresExpire(t *testing.T) {
-	failures, now := newTurnedAway(), time.Unix(1_000_000, 0)
+	failures, now := newRecentFailures(), time.Unix(1_000_000, 0)
 	for index := range 3 * maxRecentFailures {
 		failures.record(quarantine.Fingerprint{byte(index), byte(index >> 8)}, failureInfo{callsFailed: true}, now)
 	}
@@ -102,16 +102,16 @@
 // A node's report that a route is internal is valid for a limited time.
 func TestInternalRouteReportExpires(t *testing.T) {
 	nested, now := newNestedCalls(), time.Unix(1_000_000, 0)
-	nested.learn("price", false, now)
+	nested.recordInternal("price", false, now)
 	must.False(t, nested.internal("price", now))
-	nested.learn("price", true, now)
+	nested.recordInternal("price", true, now)
 	must.True(t, nested.internal("price", now))
 	must.False(t, nested.internal("price", now.Add(internalRetention)))
 }
 
 // requestWithBody returns a request with the given body and the given timeout of its caller.
 func requestWithBody(body string, given time.Duration) *exchange {
-	x := &exchange{request: httptest.NewRequest("POST", "/order/", nil), started: time.Now(), given: given, route: &snapshot.Route{}}
+	x := &exchange{request: httptest.NewRequest("POST", "/order/", nil), started: time.Now(), callerTimeout: given, route: &snapshot.Route{}}
 	x.request.Host = "shop.example"
 	x.body.whole = []byte(body)
 	return x
@@ -122,21 +122,21 @@
 // requests with short timeouts were mistaken for retries.
 func TestRetriesAreRecognized(t *testing.T) {
 	out := newCatalogMesh(t, 1).nodes[0].out
-	out.turned.rotated = time.Now().Add(time.Hour) // no request expires during the test
+	out.recentFailures.rotated = time.Now().Add(time.Hour) // no request expires during the test
 	random := rand.New(rand.NewPCG(1, 2))
 	for index := range 400 {
 		given := time.Duration(random.IntN(300)) * time.Millisecond // 0: not sent
 		first := requestWithBody(fmt.Sprint("cards ", index), given)
-		must.False(t, out.lastChance(first))
-		must.False(t, first.class.returned)
+		must.False(t, out.isLastAttempt(first))
+		must.False(t, first.class.callerRetried)
 		if random.IntN(10) >= 4 {
 			continue
 		}
-		out.noteEnd(first, "shop", &result{status: http.StatusServiceUnavailable})
+		out.recordEnd(first, "shop", &result{status: http.StatusServiceUnavailable})
 		again := requestWithBody(fmt.Sprint("cards ", index), max(0, given-time.Duration(random.IntN(100))*time.Millisecond))
-		must.True(t, out.lastChance(again))
-		must.True(t, again.class.returned)
-		must.False(t, again.class.unlikely)
+		must.True(t, out.isLastAttempt(again))
+		must.True(t, again.class.callerRetried)
+		must.False(t, again.class.callsFailedBefore)
 	}
 }
 
@@ -145,8 +145,8 @@
 	out := newCatalogMesh(t, 1).nodes[0].out
 	failed := requestWithBody("cards", time.Second)
 	failed.callFailed = true
-	out.noteEnd(failed, "shop", &result{status: http.StatusInternalServerError})
+	out.recordEnd(failed, "shop", &result{status: http.StatusInternalServerError})
 	again := requestWithBody("cards", time.Second)
-	must.True(t, out.lastChance(again))
-	must.True(t, again.class.unlikely)
+	must.True(t, out.isLastAttempt(again))
+	must.True(t, again.class.callsFailedBefore)
 }
--- a/internal/traffic/nested_test.go
+++ b/internal/traffic/nested_test.go
@@ -29,7 +29,7 @@
 	var endpoints []snapshot.Endpoint
 	for index := 1; index <= workers; index++ {
 		name := strconv.Itoa(index)
-		config := Config{Zone: "z" + name, Holder: holder, WorkerAddress: "worker-" + name + ":1", Dial: c.pipes.dial, Logger: quiet(), Limits: Limits{Slots: 3}}
+		config := Config{Zone: "z" + name, Holder: holder, WorkerAddress: "worker-" + name + ":1", Dial: c.pipes.dial, Logger: discardLogger(), Limits: Limits{Slots: 3}}
 		in, out := NewInbound(config), NewOutbound(config)
 		counted := func(w http.ResponseWriter, r *http.Request) { c.attempts.Add(1); in.ServeHTTP(w, r) }
 		c.pipes.serve(t, "in-"+name+":1", NewServer(http.HandlerFunc(counted), config.Limits))
@@ -106,7 +106,7 @@
 		_ = response.Body.Close()
 		must.Eq(t, "answered", response.Header.Get(outcome.Header))
 		must.Eq(t, 10*time.Second, time.Since(began))
-		must.Eq(t, 1+mostMoves, c.attempts.Load()-before)
+		must.Eq(t, 1+maxReroutes, c.attempts.Load()-before)
 		must.Eq(t, defaultRetryBurst, other.retries.tokens)
 		time.Sleep(11 * time.Second)
 		other.transport.CloseIdleConnections()
--- a/internal/traffic/offer.go
+++ b/internal/traffic/offer.go
@@ -15,7 +15,7 @@
 	if endpoint.Local && out.local != nil {
 		return out.offerLocal(x, endpoint)
 	}
-	request := hopRequest{attempt: out.newAttempt(), instance: endpoint.Worker, caller: x.caller, route: x.route.Name, class: x.remainingClass(), hasAlternative: x.elsewhere, rerouteTime: x.rerouteTime, tenant: x.tenant, repeated: x.repeat}
+	request := hopRequest{attempt: out.newAttempt(), instance: endpoint.Worker, caller: x.caller, route: x.route.Name, class: x.remainingClass(), hasAlternative: x.hasAlternative, rerouteTime: x.rerouteTime, tenant: x.tenant, repeated: x.repeated}
 	observed := balance.Observation{}
 	began := time.Now()
 	callFailed := false
@@ -24,8 +24,8 @@
 		if reply.attempt != request.attempt {
 			return foreign()
 		}
-		observed.Load, observed.Loaded = reply.load, reply.hasLoad
-		out.nested.learn(x.route.Name, reply.internal, time.Now())
+		observed.Load, observed.HasLoad = reply.load, reply.hasLoad
+		out.nested.recordInternal(x.route.Name, reply.internal, time.Now())
 		callFailed = reply.callFailed
 		return reply.refusal(response)
 	}
@@ -36,17 +36,17 @@
 		observed.Latency = time.Since(began)
 		observed.Kilobytes = got.kilobytes()
 		got.callFailed = callFailed
-		out.noteReport(endpoint.Worker, got, began)
+		out.recordReport(endpoint.Worker, got, began)
 		return got, observed, nil
 	}
 	if failure.cause == causeLeaving {
-		out.reports.noteLeaving(endpoint.Worker)
+		out.reports.recordLeaving(endpoint.Worker)
 	}
 	if failure.cause == causeUnresponsive {
 		out.ackDelays.observe(endpoint.Address, 2*to.ackTimeout) // the real delay is longer but is not measured
 	}
-	observed.Failed = blamesNode(failure, observed)
-	observed.Refused = failure.outcome == outcome.NotRun && !failure.arrived && observed.Loaded && observed.Load.Busy >= observed.Load.Slots
+	observed.Failed = countsAgainstNode(failure, observed)
+	observed.Rejected = failure.outcome == outcome.NotRun && !failure.reachedWorker && observed.HasLoad && observed.Load.Busy >= observed.Load.Slots
 	observed.Unreachable = failure.cause == causeConnect || failure.cause == causeUnresponsive
 	return nil, observed, failure
 }
@@ -69,7 +69,7 @@
 		to.fields = append(to.fields, field{limitHeader, limit.String()})
 	}
 	if !to.offer {
-		to.waitsForDeadline = out.leaving // a worker may be running it: abandoning the attempt would interrupt it
+		to.waitsForDeadline = out.stopping // a worker may be running it: abandoning the attempt would interrupt it
 		to.onAckTimeout = x.onAckTimeout
 	}
 	return to
@@ -111,26 +111,26 @@
 	inner.granted = nil
 	ended := out.local.serveLocal(&inner)
 	load := out.local.admitter.load(&inner)
-	observed := balance.Observation{Load: load, Loaded: true}
+	observed := balance.Observation{Load: load, HasLoad: true}
 	switch {
 	case ended.answer != nil:
-		out.noteReport(endpoint.Worker, ended.answer, inner.sent)
+		out.recordReport(endpoint.Worker, ended.answer, inner.sent)
 		observed.Kilobytes = ended.answer.kilobytes()
 		return ended.answer, observed, nil
 	case ended.sent:
 		return nil, observed, &ended
 	}
 	if ended.cause == causeLeaving {
-		out.reports.noteLeaving(endpoint.Worker)
+		out.reports.recordLeaving(endpoint.Worker)
 	}
-	ended.retryAfter = load.Wait + load.Closed
-	observed.Refused = ended.cause == causeQueue || ended.cause == causeFull
-	observed.Failed = blamesNode(&ended, observed)
+	ended.retryAfter = load.Wait + load.PausedFor
+	observed.Rejected = ended.cause == causeQueue || ended.cause == causeFull
+	observed.Failed = countsAgainstNode(&ended, observed)
 	return nil, observed, &ended
 }
 
-// blamesNode reports whether a failure counts against an endpoint.
-func blamesNode(failure *result, observed balance.Observation) bool {
+// countsAgainstNode reports whether a failure counts against an endpoint.
+func countsAgainstNode(failure *result, observed balance.Observation) bool {
 	if failure.rejected {
 		return false // its node reports its rejections in the load
 	}
@@ -138,7 +138,7 @@
 	case causeCallerGone, causeFull, causeQueue, causeDeadline, causeNested, causeCold, causeLeaving, causeLimit, causeRegion, causeQuarantine, causeKey, causeStaleKeys:
 		return false
 	case causeRefused:
-		return !observed.Loaded || observed.Load.Busy < observed.Load.Slots && observed.Load.Closed == 0
+		return !observed.HasLoad || observed.Load.Busy < observed.Load.Slots && observed.Load.PausedFor == 0
 	default:
 		return true
 	}
--- a/internal/traffic/outbound.go
+++ b/internal/traffic/outbound.go
@@ -17,7 +17,7 @@
 // each. It is safe for concurrent use.
 type Outbound struct {
 	config    Config
-	inFlight  *gate
+	inFlight  *inFlightTracker
 	random    *rand.Rand
 	pool      *pool
 	transport *http.Transport // for requests that the pool cannot carry
@@ -27,19 +27,19 @@
 	handle    stage
 
 	// With a catalog.
-	local       *Inbound // handler of the worker beside this one, nil if there is none
-	weights     *weights
-	budget      *serviceBudget
-	retryDelays *returns
-	nested      *nestedCalls
-	turned      *turnedAway
-	ackDelays   *ackDelays
-	reports     *workerReports
-	offers      offerBounds
-	hopBytes    *hopBytes
-	departure   atomic.Pointer[departure] // nil until the node stops
-	ending      context.Context           // ends when the node does
-	end         context.CancelFunc
+	local          *Inbound // handler of the worker beside this one, nil if there is none
+	weights        *weights
+	budget         *serviceBudget
+	retrySchedules *retrySchedules
+	nested         *nestedCalls
+	recentFailures *recentFailures
+	ackDelays      *ackDelays
+	reports        *workerReports
+	offers         offerBounds
+	hopBytes       *hopBytes
+	stopSchedule   atomic.Pointer[stopSchedule] // nil until the node stops
+	nodeContext    context.Context              // ends when the node does
+	cancelNode     context.CancelFunc
 }
 
 // UseLocal lets the handler reach the worker beside it without a connection between nodes. It
@@ -63,28 +63,28 @@
 // NewOutbound returns the handler of the outbound listener.
 func NewOutbound(config Config) *Outbound {
 	config = config.withDefaults()
-	out := &Outbound{config: config, inFlight: newGate(), random: rand.New(config.Random)}
+	out := &Outbound{config: config, inFlight: newInFlightTracker(), random: rand.New(config.Random)}
 	out.pool = newPool(config.Dial, math.MaxInt, config.Limits.IdlePerNode)
 	out.transport = newTransport(config.Dial, 0, config.Limits.IdlePerNode)
 	settings := balance.DefaultSettings(config.Zone, config.Region)
 	settings.LinkMbps = config.Limits.LinkMbps
-	settings.RegionBytes = config.Limits.RegionBytes
+	settings.RemoteByteFactor = config.Limits.RegionBytes
 	out.chooser = &chooser{balancer: balance.New(settings, rand.New(config.Random)), logger: config.Logger}
 	out.retries = newRetryBucket(config.Limits)
 	out.metrics = newMetrics(config, "outbound", gauges{inFlight: out.inFlight.count})
 	out.weights = newWeights(rand.New(config.Random))
 	out.budget = newServiceBudget(config.Limits)
-	out.retryDelays = newReturns()
+	out.retrySchedules = newRetrySchedules()
 	out.nested = newNestedCalls()
-	out.turned = newTurnedAway()
+	out.recentFailures = newRecentFailures()
 	out.ackDelays = newAckDelays()
 	out.reports = newWorkerReports()
 	out.offers = boundOffers(config.Limits.LinkMbps)
 	out.hopBytes = newHopBytes(config.Registerer)
-	out.ending, out.end = context.WithCancel(context.Background())
-	out.handle = pipe(out.choose, out.classify, limitDepth(config.Limits.MaxDepth), limitTime, readBody(&out.config.Limits))
-	if !config.Protocol.own() {
-		out.handle = pipe(out.dispatch, out.classifyCatalog, out.authenticate, limitTime, out.leaveInTime, readWholeBody(&out.config.Limits), out.noteBody, out.keepQuarantined, out.keepQuota)
+	out.nodeContext, out.cancelNode = context.WithCancel(context.Background())
+	out.handle = pipe(out.choose, out.classify, limitDepth(config.Limits.MaxDepth), applyDeadline, readBody(&out.config.Limits))
+	if !config.Protocol.isNative() {
+		out.handle = pipe(out.dispatch, out.classifyCatalog, out.authenticate, applyDeadline, out.refuseBeyondStop, readWholeBody(&out.config.Limits), out.recordBody, out.refuseQuarantined, out.enforceQuota)
 	}
 	return out
 }
@@ -92,11 +92,11 @@
 // ServeHTTP implements http.Handler.
 func (out *Outbound) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	x := out.begin(writer, request)
-	if !out.inFlight.enter() {
+	if !out.inFlight.begin() {
 		out.metrics.conclude(x, refuse(causeDraining, time.Second, "send it again through another node"))
 		return
 	}
-	defer out.inFlight.leave()
+	defer out.inFlight.end()
 	ended := out.handle(x)
 	if ended.outcome != outcome.Answered {
 		out.config.Calls.fail(x.id)
@@ -107,15 +107,15 @@
 // begin reads the request's context from its headers. An edge accepts only the request id.
 func (out *Outbound) begin(writer http.ResponseWriter, request *http.Request) *exchange {
 	x := &exchange{
-		writer:      writer,
-		request:     request,
-		context:     request.Context(),
-		started:     time.Now(),
-		id:          get(request.Header, outcome.RequestID),
-		budget:      out.config.Limits.RetryBudget,
-		smallAnswer: out.config.Limits.SmallAnswer,
+		writer:        writer,
+		request:       request,
+		context:       request.Context(),
+		started:       time.Now(),
+		id:            get(request.Header, outcome.RequestID),
+		budget:        out.config.Limits.RetryBudget,
+		smallResponse: out.config.Limits.SmallResponse,
 	}
-	if !out.config.Protocol.own() {
+	if !out.config.Protocol.isNative() {
 		out.beginCatalog(x)
 		return x
 	}
@@ -207,13 +207,13 @@
 	}
 }
 
-// knowledgeWait is the Retry-After of a request that this node lacks the data to serve. Other
+// missingDataRetryAfter is the Retry-After of a request that this node lacks the data to serve. Other
 // nodes and the store deliver the data in about that time.
-const knowledgeWait = 200 * time.Millisecond
+const missingDataRetryAfter = 200 * time.Millisecond
 
 // refuseUnconfigured returns the refusal of a node that has no configuration yet.
 func refuseUnconfigured() result {
 	refused := refuse(causeLease, 0, "send it again, this node has no configuration yet")
-	refused.retryAfter = knowledgeWait
+	refused.retryAfter = missingDataRetryAfter
 	return refused
 }
--- a/internal/traffic/outcome.go
+++ b/internal/traffic/outcome.go
@@ -23,7 +23,7 @@
 	if x.attempt != "" {
 		to.set(attemptHeader, x.attempt)
 	}
-	if x.closing || x.unread() {
+	if x.closeConnection || x.unread() {
 		to.set("Connection", "close")
 	}
 	if x.load != nil {
--- a/internal/traffic/pace.go
+++ b/internal/traffic/pace.go
@@ -48,34 +48,34 @@
 	if refused := a.refuseLateBody(x, wait, now); refused != nil {
 		return 0, refused
 	}
-	return a.link.Book(length, now), nil
+	return a.link.Schedule(length, now), nil
 }
 
 // refuseLateBody returns the refusal of a request whose body would arrive too late, or nil if
 // the request may wait. A retry later is then more useful than a late response now.
 func (a *admitter) refuseLateBody(x *exchange, wait time.Duration, now time.Time) *result {
 	_, run := a.queue.Forecast(a.classOf(x), x.route.Name, now)
-	if wait == 0 || x.class.objective <= 0 || wait <= (x.class.objective-run)/admission.WaitShare {
+	if wait == 0 || x.class.objective <= 0 || wait <= (x.class.objective-run)/admission.SpareTimeDivisor {
 		return nil
 	}
 	refused := refuse(causeQueue, wait, "send it again later, the link to the worker is full")
 	return &refused
 }
 
-// Received records a number of bytes that arrived on the machine's link without a reservation,
+// RecordReceived records a number of bytes that arrived on the machine's link without a reservation,
 // so that long bodies wait for these as well. It is safe for concurrent use.
-func (in *Inbound) Received(bytes int64) {
+func (in *Inbound) RecordReceived(bytes int64) {
 	in.admitter.mutex.Lock()
 	defer in.admitter.mutex.Unlock()
-	in.admitter.link.Book(bytes, time.Now())
+	in.admitter.link.Schedule(bytes, time.Now())
 }
 
-// noteBody records a caller's long body at the inbound handler of the same node, which shares
+// recordBody records a caller's long body at the inbound handler of the same node, which shares
 // the link.
-func (out *Outbound) noteBody(next stage) stage {
+func (out *Outbound) recordBody(next stage) stage {
 	return func(x *exchange) result {
 		if out.local != nil && x.body.length > directBody {
-			out.local.Received(x.body.length)
+			out.local.RecordReceived(x.body.length)
 		}
 		return next(x)
 	}
@@ -85,7 +85,7 @@
 func (a *admitter) releaseBody(length int64) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.link.Return(length)
+	a.link.Release(length)
 }
 
 // linkWait returns how long the body of another request like this one would wait for the link.
--- a/internal/traffic/pace_test.go
+++ b/internal/traffic/pace_test.go
@@ -61,7 +61,7 @@
 	m := newCatalogMesh(t, 1)
 	node := m.nodes[0]
 	node.in.admitter.link = admission.NewLink(1)
-	node.in.Received(1_000_000)
+	node.in.RecordReceived(1_000_000)
 	wait, refused := node.in.admitter.reserveBody(pendingUpload(time.Hour), 60_000, time.Now())
 	must.Nil(t, refused)
 	must.Greater(t, 5*time.Second, wait)
@@ -127,6 +127,6 @@
 
 // Retry-After of a refusal must cover the expected waits for both the slot and the link.
 func TestRetryAfterIncludesLinkWait(t *testing.T) {
-	reply := hopAnswer{outcome: outcome.NotRun, load: balance.Load{Wait: time.Second, Link: 2 * time.Second}}
+	reply := hopReply{outcome: outcome.NotRun, load: balance.Load{Wait: time.Second, Link: 2 * time.Second}}
 	must.Eq(t, 3*time.Second, reply.refusal(&http.Response{}).retryAfter)
 }
--- a/internal/traffic/pool_test.go
+++ b/internal/traffic/pool_test.go
@@ -64,7 +64,7 @@
 				must.NoError(t, err)
 				must.True(t, first == again)
 				go disturb(other)
-				waitFor(t, func() bool { return !first.probe.quiet() })
+				waitFor(t, func() bool { return !first.probe.isIdle() })
 				p.put(first)
 				renewed, err := p.take(t.Context(), "", 0)
 				must.NoError(t, err)
--- a/internal/traffic/pooled_conn.go
+++ b/internal/traffic/pooled_conn.go
@@ -59,7 +59,7 @@
 
 // isUsable reports whether the other side has neither closed an idle connection nor sent
 // unexpected data on it.
-func (c *pooledConn) isUsable() bool { return c.reader.Buffered() == 0 && c.probe.quiet() }
+func (c *pooledConn) isUsable() bool { return c.reader.Buffered() == 0 && c.probe.isIdle() }
 
 // begin interrupts the connection when the context ends.
 func (c *pooledConn) begin(ctx context.Context) {
--- a/internal/traffic/probe.go
+++ b/internal/traffic/probe.go
@@ -16,8 +16,8 @@
 	p.raw.prepare(conn)
 }
 
-// quiet reports whether the connection is open and has received no data.
-func (p *probe) quiet() bool {
+// isIdle reports whether the connection is open and has received no data.
+func (p *probe) isIdle() bool {
 	if idle, supported := p.raw.isIdle(); supported {
 		return idle
 	}
--- a/internal/traffic/protocol.go
+++ b/internal/traffic/protocol.go
@@ -24,8 +24,8 @@
 	Leaving        string // on a worker's responses: 1 when it drains
 }
 
-// own reports whether callers and workers use sliphead's own headers.
-func (p *Protocol) own() bool { return p.RequestID == "" }
+// isNative reports whether callers and workers use sliphead's own headers.
+func (p *Protocol) isNative() bool { return p.RequestID == "" }
 
 // setsOnWorkerRequest reports whether sliphead itself sets a header on requests to workers, so
 // that values from callers are dropped.
@@ -69,8 +69,8 @@
 	return id != "" && id != x.id
 }
 
-// saysItLeaves reports whether a worker's response announces that it drains.
-func (p *Protocol) saysItLeaves(header http.Header) bool {
+// announcesLeaving reports whether a worker's response announces that it drains.
+func (p *Protocol) announcesLeaving(header http.Header) bool {
 	const leaves = "1"
 	return strings.TrimSpace(get(header, p.Leaving)) == leaves
 }
--- a/internal/traffic/quarantine.go
+++ b/internal/traffic/quarantine.go
@@ -14,9 +14,9 @@
 type Quarantine interface {
 	// Empty reports whether no request is tracked, in which case no digest is needed.
 	Empty() bool
-	// Knows reports whether a request with this head is tracked. Only then is a digest of
+	// HasHead reports whether a request with this head is tracked. Only then is a digest of
 	// the rest of the request needed.
-	Knows(quarantine.Head) bool
+	HasHead(quarantine.Head) bool
 	// Verdict returns how a request is to be treated, and for how long.
 	Verdict(quarantine.Fingerprint) (quarantine.Verdict, time.Duration)
 	// WorkerCrashed reports that the local worker terminated while it ran the requests, of
@@ -34,8 +34,8 @@
 	if tracked == nil || tracked.Empty() {
 		return verdict, fingerprint, 0
 	}
-	request := x.asked()
-	if !tracked.Knows(request.Head()) {
+	request := x.quarantineRequest()
+	if !tracked.HasHead(request.Head()) {
 		return verdict, fingerprint, 0
 	}
 	fingerprint = request.Fingerprint()
@@ -49,9 +49,9 @@
 	return refuse(causeQuarantine, left, "mend the request or its service: workers ended each time they ran it, it is sent to none for now")
 }
 
-// keepQuarantined refuses held requests before they are offered to any node. A request on trial
+// refuseQuarantined refuses held requests before they are offered to any node. A request on trial
 // is sent to the owner of its trials only.
-func (out *Outbound) keepQuarantined(next stage) stage {
+func (out *Outbound) refuseQuarantined(next stage) stage {
 	return func(x *exchange) result {
 		verdict, fingerprint, left := verdictFor(out.config.Quarantine, x)
 		switch verdict.State {
@@ -88,16 +88,16 @@
 		return d.out.weights.target(d.x.route)
 	}
 	for _, target := range d.x.route.Targets {
-		if len(d.onTrial(d.x.view.EndpointsOf(target))) > 0 {
+		if len(d.trialEndpoints(d.x.view.EndpointsOf(target))) > 0 {
 			return target, true
 		}
 	}
 	return snapshot.Target{}, false
 }
 
-// onTrial returns the endpoints that the request may be offered to: only the trial owner for a
+// trialEndpoints returns the endpoints that the request may be offered to: only the trial owner for a
 // request on trial, otherwise all.
-func (d *dispatch) onTrial(endpoints []snapshot.Endpoint) []snapshot.Endpoint {
+func (d *dispatch) trialEndpoints(endpoints []snapshot.Endpoint) []snapshot.Endpoint {
 	if d.x.trialOwner == "" {
 		return endpoints
 	}
@@ -123,7 +123,7 @@
 			return refuseHeld(left)
 		case quarantine.OnTrial:
 			if !in.beginTrial(x, fingerprint) {
-				return refuseHeld(leastWait)
+				return refuseHeld(minRetryAfter)
 			}
 		}
 		return next(x)
@@ -219,7 +219,7 @@
 // termination is then not attributed to the requests that it ran last.
 func (in *Inbound) isLeaving() bool {
 	view, _ := in.config.Holder.Current(time.Now())
-	return view != nil && (view.Local.Draining || in.saysItLeaves(view.Local.Instance) != notLeaving)
+	return view != nil && (view.Local.Draining || in.leaveStateOf(view.Local.Instance) != notLeaving)
 }
 
 // reportReplaced reports a crash of an instance that another one has replaced, if connections of
--- a/internal/traffic/quarantine_test.go
+++ b/internal/traffic/quarantine_test.go
@@ -29,8 +29,8 @@
 	return &fakeQuarantine{head: request.Head(), verdict: quarantine.Verdict{State: state}}
 }
 
-func (o *fakeQuarantine) Empty() bool                     { return false }
-func (o *fakeQuarantine) Knows(head quarantine.Head) bool { return head == o.head }
+func (o *fakeQuarantine) Empty() bool                       { return false }
+func (o *fakeQuarantine) HasHead(head quarantine.Head) bool { return head == o.head }
 
 func (o *fakeQuarantine) Verdict(quarantine.Fingerprint) (quarantine.Verdict, time.Duration) {
 	o.mutex.Lock()
--- a/internal/traffic/quota.go
+++ b/internal/traffic/quota.go
@@ -16,14 +16,14 @@
 	// ends at the latest. If the quota is exhausted it returns false and the time after
 	// which some may be available.
 	Take(ctx context.Context, tenant *catalog.Tenant) (taken bool, retryAfter time.Duration)
-	// GiveBack returns the quota taken by a request that no worker has run or will run.
-	GiveBack(tenant *catalog.Tenant)
+	// Refund returns the quota taken by a request that no worker has run or will run.
+	Refund(tenant *catalog.Tenant)
 }
 
-// keepQuota refuses requests beyond a tenant's quota. It is the last step before the request is
+// enforceQuota refuses requests beyond a tenant's quota. It is the last step before the request is
 // offered to nodes, so that requests refused for other reasons take no quota. A request that no
 // worker ran returns its quota.
-func (out *Outbound) keepQuota(next stage) stage {
+func (out *Outbound) enforceQuota(next stage) stage {
 	return func(x *exchange) result {
 		tenant := x.view.Tenant(x.tenant.name)
 		if out.config.Quotas == nil || tenant == nil || tenant.RatePerSecond <= 0 {
@@ -35,7 +35,7 @@
 		}
 		ended := next(x)
 		if ended.outcome == outcome.NotRun {
-			out.config.Quotas.GiveBack(tenant)
+			out.config.Quotas.Refund(tenant)
 		}
 		return ended
 	}
@@ -48,6 +48,6 @@
 		status:     http.StatusTooManyRequests,
 		cause:      causeQuota,
 		remedy:     "send it again later, the tenant makes more requests than it may",
-		retryAfter: max(retryAfter, leastWait),
+		retryAfter: max(retryAfter, minRetryAfter),
 	}
 }
--- a/internal/traffic/recent_failures.go
+++ b/internal/traffic/recent_failures.go
@@ -7,11 +7,11 @@
 	"sliphead/internal/quarantine"
 )
 
-// turnedAway tracks the requests that this node has recently refused or answered with a failure.
+// recentFailures tracks the requests that this node has recently refused or answered with a failure.
 // A caller retries such a request once, under another id, so a copy of a tracked request is the
 // caller's last attempt. The caller's deadline cannot show that, because it differs more between
 // callers than between a first and a second attempt. It is safe for concurrent use.
-type turnedAway struct {
+type recentFailures struct {
 	mutex            sync.Mutex
 	recent, previous map[quarantine.Fingerprint]failureInfo
 	rotated          time.Time // when recent was started
@@ -30,12 +30,12 @@
 	maxRecentFailures = 1024 // requests tracked within one failureRetention
 )
 
-func newTurnedAway() *turnedAway {
-	return &turnedAway{recent: map[quarantine.Fingerprint]failureInfo{}}
+func newRecentFailures() *recentFailures {
+	return &recentFailures{recent: map[quarantine.Fingerprint]failureInfo{}}
 }
 
 // record tracks a request. Beyond maxRecentFailures it is dropped.
-func (t *turnedAway) record(request quarantine.Fingerprint, failure failureInfo, now time.Time) {
+func (t *recentFailures) record(request quarantine.Fingerprint, failure failureInfo, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.rotate(now)
@@ -45,7 +45,7 @@
 }
 
 // any reports whether any request is tracked; otherwise no fingerprint is needed.
-func (t *turnedAway) any(now time.Time) bool {
+func (t *recentFailures) any(now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.rotate(now)
@@ -53,7 +53,7 @@
 }
 
 // find reports whether a copy of a request was refused or failed recently, and how.
-func (t *turnedAway) find(request quarantine.Fingerprint, now time.Time) (failure failureInfo, found bool) {
+func (t *recentFailures) find(request quarantine.Fingerprint, now time.Time) (failure failureInfo, found bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.rotate(now)
@@ -66,7 +66,7 @@
 
 // rotate starts a new period after failureRetention and drops requests of earlier periods than
 // the previous one. The caller holds the mutex.
-func (t *turnedAway) rotate(now time.Time) {
+func (t *recentFailures) rotate(now time.Time) {
 	switch passed := now.Sub(t.rotated); {
 	case passed < failureRetention:
 		return
--- a/internal/traffic/remote_test.go
+++ b/internal/traffic/remote_test.go
@@ -67,7 +67,7 @@
 
 // newRemoteOutbound returns the handler of a node that dials only a remote node.
 func newRemoteOutbound(node *remoteNode) *Outbound {
-	return NewOutbound(Config{Zone: "z1", Region: "r1", Dial: node.dial, Protocol: testProtocol, Logger: quiet(), Holder: &snapshot.Holder{}})
+	return NewOutbound(Config{Zone: "z1", Region: "r1", Dial: node.dial, Protocol: testProtocol, Logger: discardLogger(), Holder: &snapshot.Holder{}})
 }
 
 // remoteExchange returns a request without a body whose deadline is in the given time.
@@ -79,7 +79,7 @@
 	t.Cleanup(cancel)
 	return &exchange{
 		writer: httptest.NewRecorder(), request: request.WithContext(ctx), context: ctx, started: time.Now(), deadline: time.Now().Add(left),
-		concurrentBody: true, smallAnswer: 100, protocol: &out.config.Protocol,
+		concurrentBody: true, smallResponse: 100, protocol: &out.config.Protocol,
 		route: &snapshot.Route{Route: declaration.Route{Name: "lookup", Repeatable: true}, MaxAttempts: 2},
 	}
 }
@@ -153,11 +153,11 @@
 // A body that is sent only after 100 Continue costs a second round trip, and the choice of the
 // endpoint takes this into account.
 func TestOfferedBodyCostsTwoRoundTrips(t *testing.T) {
-	out := NewOutbound(Config{Protocol: testProtocol, Logger: quiet(), Holder: &snapshot.Holder{}})
+	out := NewOutbound(Config{Protocol: testProtocol, Logger: discardLogger(), Holder: &snapshot.Holder{}})
 	trips := func(length int64, repeatable bool) int {
 		x := &exchange{body: body{length: length}, route: &snapshot.Route{Route: declaration.Route{Repeatable: repeatable}}}
 		d := dispatch{out: out, x: x}
-		return d.need().Trips
+		return d.need().RoundTrips
 	}
 	must.Eq(t, 1, trips(0, false))
 	must.Eq(t, 2, trips(300, false))
@@ -186,7 +186,7 @@
 
 // Bytes are counted by the distance to the endpoint.
 func TestDistanceLabel(t *testing.T) {
-	out := NewOutbound(Config{Zone: "z1", Region: "r1", Protocol: testProtocol, Logger: quiet(), Holder: &snapshot.Holder{}})
+	out := NewOutbound(Config{Zone: "z1", Region: "r1", Protocol: testProtocol, Logger: discardLogger(), Holder: &snapshot.Holder{}})
 	must.Eq(t, distanceSameZone, out.distanceLabel(snapshot.Endpoint{Zone: "z1", Region: "r1"}))
 	must.Eq(t, distanceSameRegion, out.distanceLabel(snapshot.Endpoint{Zone: "z2", Region: "r1"}))
 	must.Eq(t, distanceOtherRegion, out.distanceLabel(snapshot.Endpoint{Zone: "z9", Region: "r2"}))
--- a/internal/traffic/retry_schedules.go
+++ b/internal/traffic/retry_schedules.go
@@ -7,9 +7,9 @@
 	"sliphead/internal/traffic/retryafter"
 )
 
-// returns schedules the retries of refused callers for each service. It is safe for concurrent
+// retrySchedules schedules the retries of refused callers for each service. It is safe for concurrent
 // use.
-type returns struct {
+type retrySchedules struct {
 	mutex     sync.Mutex
 	byService map[string]*retryafter.Schedule // by service
 }
@@ -18,8 +18,8 @@
 // the largest configuration seen. Beyond it all schedules are dropped.
 const maxRetrySchedules = 4096
 
-func newReturns() *returns {
-	return &returns{byService: map[string]*retryafter.Schedule{}}
+func newRetrySchedules() *retrySchedules {
+	return &retrySchedules{byService: map[string]*retryafter.Schedule{}}
 }
 
 // getOrCreate returns the entry of a name, and creates it if there is none.
@@ -35,17 +35,17 @@
 	return found
 }
 
-// answered records a response of a service.
-func (r *returns) answered(service string, now time.Time) {
+// recordAnswered records a response of a service.
+func (r *retrySchedules) recordAnswered(service string, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	getOrCreate(r.byService, service).Answered(now)
+	getOrCreate(r.byService, service).RecordResponse(now)
 }
 
-// comeBack returns the delay after which a refused request is to be retried: at least the
+// retryDelay returns the delay after which a refused request is to be retried: at least the
 // forecast wait and at most the given maximum, by the priority of its tenant.
-func (r *returns) comeBack(service string, priority int, forecast, limit time.Duration, now time.Time) time.Duration {
+func (r *retrySchedules) retryDelay(service string, priority int, forecast, limit time.Duration, now time.Time) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return getOrCreate(r.byService, service).Book(priority, forecast, limit, now)
+	return getOrCreate(r.byService, service).NextDelay(priority, forecast, limit, now)
 }
--- a/internal/traffic/retryafter/retryafter.go
+++ b/internal/traffic/retryafter/retryafter.go
@@ -31,8 +31,8 @@
 // seconds.
 const rateWindow = time.Second
 
-// Answered records a response of the service.
-func (s *Schedule) Answered(now time.Time) {
+// RecordResponse records a response of the service.
+func (s *Schedule) RecordResponse(now time.Time) {
 	s.decay(now)
 	s.responses++
 }
@@ -55,10 +55,10 @@
 	return time.Duration(float64(rateWindow) / max(1, s.responses))
 }
 
-// Book returns the delay after which a rejected request should retry: at least the wait
+// NextDelay returns the delay after which a rejected request should retry: at least the wait
 // that the service's nodes expect, after the previously rejected requests of its own and
 // higher priorities, and at most maxDelay. Priority 0 is the highest.
-func (s *Schedule) Book(priority int, expectedWait, maxDelay time.Duration, now time.Time) time.Duration {
+func (s *Schedule) NextDelay(priority int, expectedWait, maxDelay time.Duration, now time.Time) time.Duration {
 	at := s.after(priority)
 	if earliest := now.Add(expectedWait); at.Before(earliest) {
 		at = earliest
--- a/internal/traffic/retryafter/retryafter_test.go
+++ b/internal/traffic/retryafter/retryafter_test.go
@@ -16,20 +16,20 @@
 func TestRetriesAreSpread(t *testing.T) {
 	var schedule Schedule
 	for index := range 20 {
-		schedule.Answered(start.Add(time.Duration(index) * 50 * time.Millisecond))
+		schedule.RecordResponse(start.Add(time.Duration(index) * 50 * time.Millisecond))
 	}
 	now := start.Add(time.Second)
 	const expectedWait, maxDelay = 30 * time.Millisecond, 400 * time.Millisecond
 	delays := []time.Duration{}
 	for range 8 {
-		delays = append(delays, schedule.Book(0, expectedWait, maxDelay, now))
+		delays = append(delays, schedule.NextDelay(0, expectedWait, maxDelay, now))
 	}
 	must.Eq(t, expectedWait, delays[0])
 	must.True(t, slices.IsSorted(delays))
 	must.Greater(t, 40*time.Millisecond, delays[1]-delays[0])
 	must.Less(t, 120*time.Millisecond, delays[1]-delays[0])
 	must.Eq(t, maxDelay, delays[7])
-	must.Eq(t, expectedWait, schedule.Book(0, expectedWait, maxDelay, now.Add(5*time.Second)))
+	must.Eq(t, expectedWait, schedule.NextDelay(0, expectedWait, maxDelay, now.Add(5*time.Second)))
 }
 
 // In an overload of three seconds, a third beyond the capacity of the slots, callers whose
@@ -89,16 +89,16 @@
 			if now.Before(each.ends) {
 				return false
 			}
-			schedule.Answered(now)
+			schedule.RecordResponse(now)
 			decided = append(decided, queue.Done(each.ticket, now)...)
 			return true
 		})
 		for _, each := range coming {
 			arrival := admission.Arrival[*caller]{Class: admission.Batch, Deadline: now.Add(objective), Waiter: each}
 			if spread && each.retried {
-				arrival.Last = each.deadline
+				arrival.LateDeadline = each.deadline
 			}
-			ticket, others := queue.Take(arrival, now)
+			ticket, others := queue.Admit(arrival, now)
 			decided = append(append(decided, ticket), others...)
 		}
 		for _, ticket := range decided {
@@ -111,13 +111,13 @@
 				} else {
 					ended.late++
 				}
-			case ticket.Verdict == admission.Refused && each.retried:
+			case ticket.Verdict == admission.Rejected && each.retried:
 				ended.lost++
-			case ticket.Verdict == admission.Refused:
+			case ticket.Verdict == admission.Rejected:
 				each.retried = true
 				wait := 20 * time.Millisecond
 				if spread {
-					wait = schedule.Book(0, wait, each.deadline.Sub(now)/3, now)
+					wait = schedule.NextDelay(0, wait, each.deadline.Sub(now)/3, now)
 				}
 				at := now.Add(wait).Truncate(step).Add(step)
 				waiting[at] = append(waiting[at], each)
@@ -134,9 +134,9 @@
 	schedule := Schedule{}
 	const apart = 100 * time.Millisecond
 	for range 10 {
-		schedule.Answered(now)
+		schedule.RecordResponse(now)
 	}
-	book := func(priority int) time.Duration { return schedule.Book(priority, apart, time.Second, now) }
+	book := func(priority int) time.Duration { return schedule.NextDelay(priority, apart, time.Second, now) }
 	must.Eq(t, apart, book(1))
 	must.Eq(t, 2*apart, book(1))
 	must.Eq(t, apart, book(0))
--- a/internal/traffic/server.go
+++ b/internal/traffic/server.go
@@ -20,20 +20,20 @@
 	}
 }
 
-// RefuseBehind responds with outcome not-run to a request that arrived on a connection which
+// RefuseOnClosing responds with outcome not-run to a request that arrived on a connection which
 // this node is about to close.
-func (out *Outbound) RefuseBehind(writer http.ResponseWriter, request *http.Request) {
+func (out *Outbound) RefuseOnClosing(writer http.ResponseWriter, request *http.Request) {
 	x := out.begin(writer, request)
-	x.closing = true
+	x.closeConnection = true
 	refused := refuse(causeDraining, 0, "send it again on another connection")
-	refused.retryAfter = leastWait
+	refused.retryAfter = minRetryAfter
 	out.metrics.conclude(x, refused)
 }
 
-// MayRunAhead reports whether a request may run concurrently with earlier requests on the
+// MayRunConcurrently reports whether a request may run concurrently with earlier requests on the
 // same connection, which is the case when its route is declared repeatable. It returns false
 // while the node has no valid configuration.
-func (out *Outbound) MayRunAhead(request *http.Request) bool {
+func (out *Outbound) MayRunConcurrently(request *http.Request) bool {
 	view, current := out.config.Holder.Current(time.Now())
 	if !current {
 		return false
--- a/internal/traffic/tenant.go
+++ b/internal/traffic/tenant.go
@@ -117,9 +117,9 @@
 	if identified && out.config.Limits.KeysFailClosed <= 0 {
 		return nil
 	}
-	x.knowledgeAge = out.config.knowledgeAge()
+	x.configurationAge = out.config.configurationAge()
 	switch {
-	case isOlder(x.knowledgeAge, out.config.Limits.KeysFailClosed):
+	case isOlder(x.configurationAge, out.config.Limits.KeysFailClosed):
 		return refuseStaleKeys()
 	case !identified:
 		return out.config.rejectCaller(x)
@@ -131,19 +131,19 @@
 // isOlder reports whether an age exceeds a bound; a bound of 0 means none.
 func isOlder(age, bound time.Duration) bool { return bound > 0 && age > bound }
 
-// knowledgeAge returns how long ago this node was last known to have the latest configuration.
-func (c *Config) knowledgeAge() time.Duration {
-	if c.KnowledgeAge == nil {
+// configurationAge returns how long ago this node was last known to have the latest configuration.
+func (c *Config) configurationAge() time.Duration {
+	if c.ConfigurationAge == nil {
 		return 0
 	}
-	return c.KnowledgeAge()
+	return c.ConfigurationAge()
 }
 
 // rejectCaller refuses a request whose key no tenant has in this node's configuration. The
 // rejection is final, unless the configuration is so old that the key may have been added since.
 func (c *Config) rejectCaller(x *exchange) *result {
-	x.knowledgeAge = c.knowledgeAge()
-	if isOlder(x.knowledgeAge, c.Limits.KeysInForce) {
+	x.configurationAge = c.configurationAge()
+	if isOlder(x.configurationAge, c.Limits.KeysInForce) {
 		return refuseStaleKeys()
 	}
 	refused := rejectKey()
@@ -160,14 +160,14 @@
 	view, _ := out.config.Holder.Current(x.started)
 	x.tenant = x.tenant.asOf(view)
 	if x.tenant.withdrawnBy(view) {
-		return out.config.loseTenant(x, x.route)
+		return out.config.dropTenant(x, x.route)
 	}
 	return out.refuseCaller(x)
 }
 
-// loseTenant removes the tenant from a request whose key was withdrawn if its route is public,
+// dropTenant removes the tenant from a request whose key was withdrawn if its route is public,
 // and otherwise returns the refusal. The route is nil if it is unknown.
-func (c *Config) loseTenant(x *exchange, route *snapshot.Route) *result {
+func (c *Config) dropTenant(x *exchange, route *snapshot.Route) *result {
 	if route == nil || !route.Public {
 		return c.rejectCaller(x)
 	}
@@ -194,7 +194,7 @@
 // refuseStaleKeys returns the refusal of a node whose set of keys is too old to decide by.
 func refuseStaleKeys() *result {
 	refused := refuse(causeStaleKeys, 0, "send it again, this node has not heard lately which keys are in force")
-	refused.retryAfter = knowledgeWait
+	refused.retryAfter = missingDataRetryAfter
 	return &refused
 }
 
--- a/internal/traffic/tenant_test.go
+++ b/internal/traffic/tenant_test.go
@@ -55,7 +55,7 @@
 	response, _, err := m.call(http.MethodPost, "/order/1", "x", "Authorization", "Bearer "+pressKey, testProtocol.Tenant, "other")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode)
-	got, _ := m.nodes[1].worker.last()
+	got, _ := m.nodes[1].worker.lastRequest()
 	must.Eq(t, []string{press}, got.Header.Values(testProtocol.Tenant))
 	must.Eq(t, "", got.Header.Get("Authorization"))
 }
@@ -76,7 +76,7 @@
 		response, _, err = m.call(http.MethodGet, "/lookup/1", "", append(headers, testProtocol.Tenant, press)...)
 		must.NoError(t, err)
 		must.Eq(t, http.StatusOK, response.StatusCode)
-		got, _ := m.nodes[1].worker.last()
+		got, _ := m.nodes[1].worker.lastRequest()
 		must.SliceEmpty(t, got.Header.Values(testProtocol.Tenant))
 		must.SliceEmpty(t, got.Header.Values("Authorization"))
 	}
@@ -88,7 +88,7 @@
 	response, _, err := m.call(http.MethodGet, "/lookup/1", "", "Authorization", "Bearer own")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode)
-	got, _ := m.nodes[0].worker.last()
+	got, _ := m.nodes[0].worker.lastRequest()
 	must.Eq(t, "Bearer own", got.Header.Get("Authorization"))
 }
 
@@ -118,7 +118,7 @@
 	response, _, err := m.call(http.MethodPost, "/order/1", "x", "Authorization", "Bearer "+pressKey)
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode)
-	got, _ := m.nodes[1].worker.last()
+	got, _ := m.nodes[1].worker.lastRequest()
 	must.Eq(t, "till", got.Header.Get(testProtocol.Tenant))
 }
 
@@ -135,7 +135,7 @@
 	return q.left >= 0, 250 * time.Millisecond
 }
 
-func (q *fixedQuota) GiveBack(*catalog.Tenant) {
+func (q *fixedQuota) Refund(*catalog.Tenant) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.left++
--- a/internal/traffic/time_test.go
+++ b/internal/traffic/time_test.go
@@ -73,7 +73,7 @@
 func newPipeMesh(t *testing.T, worker http.HandlerFunc) *pipeMesh {
 	m := &pipeMesh{pipes: pipes{}}
 	holder := &snapshot.Holder{}
-	config := Config{Zone: "z1", Holder: holder, Worker: "w1", WorkerAddress: "worker:1", Dial: m.pipes.dial, Logger: quiet(), Edge: true}
+	config := Config{Zone: "z1", Holder: holder, Worker: "w1", WorkerAddress: "worker:1", Dial: m.pipes.dial, Logger: discardLogger(), Edge: true}
 	m.in = NewInbound(config)
 	m.out = NewOutbound(config)
 	m.pipes.serve(t, "worker:1", &http.Server{Handler: worker})
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -57,21 +57,21 @@
 	// Service is the service of the local worker. It is sent as the calling service to the
 	// workers that the local worker and the callers on its machine reach.
 	Service string
-	// Seen receives the IP address of each node that sent a request.
-	Seen       func(address string)
-	Limits     Limits
-	Registerer prometheus.Registerer // nil: metrics are collected but not registered
-	Logger     log.Interface         // nil: log.Log
-	Dial       DialFunc              // nil: net.Dialer
-	Random     rand.Source           // nil: seeded from the clock
+	// ObservePeer receives the IP address of each node that sent a request.
+	ObservePeer func(address string)
+	Limits      Limits
+	Registerer  prometheus.Registerer // nil: metrics are collected but not registered
+	Logger      log.Interface         // nil: log.Log
+	Dial        DialFunc              // nil: net.Dialer
+	Random      rand.Source           // nil: seeded from the clock
 	// Observe receives the result of each request at the local worker: true for a complete
 	// response, false for a failure caused by the worker. It must not block.
 	Observe func(succeeded bool)
 	// Quarantine identifies requests that crash workers; nil: no request is quarantined.
 	Quarantine Quarantine
-	// KnowledgeAge returns the time since the configuration in force was last confirmed to be
+	// ConfigurationAge returns the time since the configuration in force was last confirmed to be
 	// the newest; nil: it is always current. It must not block.
-	KnowledgeAge func() time.Duration
+	ConfigurationAge func() time.Duration
 	// Quotas enforces the limits of tenants; nil: tenants have no limits.
 	Quotas Quotas
 	// Calls connects the inbound and the outbound handler of one node; see Calls.
@@ -81,8 +81,8 @@
 // Limits bounds a handler's resources and waiting times. Zero fields take defaults.
 type Limits struct {
 	SmallBody      int64         // request bodies of known length up to this many bytes are buffered and may be sent again
-	SmallAnswer    int64         // responses of known length up to this many bytes are buffered before they are forwarded
-	KeptAnswer     int64         // responses up to this many bytes are stored for replay under an idempotency key
+	SmallResponse  int64         // responses of known length up to this many bytes are buffered before they are forwarded
+	StoredResponse int64         // responses up to this many bytes are stored for replay under an idempotency key
 	MaxDepth       int           // levels of the call tree
 	Slots          int           // requests that the local worker runs at once, if it declares none
 	Connections    int           // connections to the local worker, if it declares none
@@ -128,8 +128,8 @@
 // withDefaults fills the zero fields.
 func (l Limits) withDefaults() Limits {
 	defaults.Set(&l.SmallBody, defaultSmall)
-	defaults.Set(&l.SmallAnswer, defaultSmall)
-	defaults.Set(&l.KeptAnswer, defaultStoredResponse)
+	defaults.Set(&l.SmallResponse, defaultSmall)
+	defaults.Set(&l.StoredResponse, defaultStoredResponse)
 	defaults.Set(&l.MaxDepth, defaultMaxDepth)
 	defaults.Set(&l.Slots, defaultSlots)
 	defaults.Set(&l.Connections, defaultConnections)
--- a/internal/traffic/worker.go
+++ b/internal/traffic/worker.go
@@ -31,13 +31,13 @@
 
 func newWorkerLink(config Config) *workerLink {
 	link := &workerLink{dial: config.Dial}
-	link.bound(config.Limits.Connections)
+	link.setMaxConnections(config.Limits.Connections)
 	return link
 }
 
-// bound changes the maximum number of connections. Requests in flight complete on the
+// setMaxConnections changes the maximum number of connections. Requests in flight complete on the
 // connections that they use.
-func (l *workerLink) bound(connections int) {
+func (l *workerLink) setMaxConnections(connections int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.maxConnections == connections {
@@ -87,7 +87,7 @@
 		for _, endpoint := range route.Endpoints {
 			if endpoint.Worker == in.config.Worker && endpoint.Slots > 0 && endpoint.Connections > 0 {
 				in.admitter.resize(endpoint.Slots)
-				in.worker.bound(endpoint.Connections)
+				in.worker.setMaxConnections(endpoint.Connections)
 				return
 			}
 		}
--- a/internal/traffic/worker_report.go
+++ b/internal/traffic/worker_report.go
@@ -26,7 +26,7 @@
 	if instance == a.report.instance {
 		return
 	}
-	limited := a.report.limit.InForce().Named
+	limited := a.report.limit.Current().Limited
 	a.report = workerReport{instance: instance}
 	if limited {
 		a.applyLimit(now)
@@ -40,10 +40,10 @@
 	a.report.sent.Add(now)
 }
 
-// noteReport records what a response of the worker reports about the worker itself.
-func (in *Inbound) noteReport(x *exchange, response *http.Response) {
+// recordReport records what a response of the worker reports about the worker itself.
+func (in *Inbound) recordReport(x *exchange, response *http.Response) {
 	in.recordLimit(x, response)
-	if in.config.Protocol.saysItLeaves(response.Header) {
+	if in.config.Protocol.announcesLeaving(response.Header) {
 		in.recordLeaving(x.instance)
 	}
 }
@@ -53,7 +53,7 @@
 // run at another endpoint.
 func (in *Inbound) recordLeaving(instance string) {
 	view, _ := in.config.Holder.Current(time.Now())
-	if view == nil || view.Local.Instance != instance || in.saysItLeaves(instance) == leavesForGood {
+	if view == nil || view.Local.Instance != instance || in.leaveStateOf(instance) == certainlyLeaving {
 		return
 	}
 	in.leaveNotice.Store(&leaveNotice{instance: instance, id: view.Local.ID, at: time.Now()})
@@ -77,21 +77,21 @@
 type leaveState int
 
 const (
-	notLeaving  leaveState = iota
-	leavesMaybe            // either it or the previous instance under the same id has
-	leavesForGood
+	notLeaving   leaveState = iota
+	maybeLeaving            // either it or the previous instance under the same id has
+	certainlyLeaving
 )
 
-// saysItLeaves returns whether an instance has announced that it leaves.
-func (in *Inbound) saysItLeaves(instance string) leaveState {
+// leaveStateOf returns whether an instance has announced that it leaves.
+func (in *Inbound) leaveStateOf(instance string) leaveState {
 	notice := in.leaveNotice.Load()
 	switch {
 	case notice == nil || notice.instance != instance:
 		return notLeaving
 	case notice.expires.IsZero():
-		return leavesForGood
+		return certainlyLeaving
 	case time.Now().Before(notice.expires):
-		return leavesMaybe
+		return maybeLeaving
 	default:
 		return notLeaving
 	}
@@ -121,7 +121,7 @@
 	if a.report.instance != x.instance {
 		return // a response of the previous instance
 	}
-	if a.report.limit.Answered(limit, x.sent, now) {
+	if a.report.limit.Record(limit, x.sent, now) {
 		a.applyLimit(now)
 		in.logLimit(now)
 	}
@@ -130,9 +130,9 @@
 // logLimit logs that the worker has changed or removed its limit. The caller holds the mutex.
 func (in *Inbound) logLimit(now time.Time) {
 	report := &in.admitter.report
-	limit := report.limit.InForce()
+	limit := report.limit.Current()
 	fields := logging.Fields{"instance": report.instance, "sent": report.sent.Count(now), "within_ms": workerlimit.SentWindow.Milliseconds()}
-	if !limit.Named {
+	if !limit.Limited {
 		logging.Event(in.config.Logger, "worker.unlimited", fields)
 		return
 	}
@@ -168,9 +168,9 @@
 	a := in.admitter
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	reported := a.report.limit.InForce()
-	limit := WorkerLimit{Limited: reported.Named, PerSecond: float64(reported.Rate), Sent: a.report.sent.Count(now)}
-	if reported.Named {
+	reported := a.report.limit.Current()
+	limit := WorkerLimit{Limited: reported.Limited, PerSecond: float64(reported.Rate), Sent: a.report.sent.Count(now)}
+	if reported.Limited {
 		limit.ForS = now.Sub(a.report.limit.Since()).Seconds()
 	}
 	return limit
--- a/internal/traffic/worker_reports.go
+++ b/internal/traffic/worker_reports.go
@@ -45,7 +45,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	reported := r.limits[instance]
-	if err != nil || reported == nil && !limit.Named {
+	if err != nil || reported == nil && !limit.Limited {
 		return
 	}
 	if reported == nil {
@@ -55,16 +55,16 @@
 		reported = &reportedLimit{}
 		r.limits[instance] = reported
 	}
-	reported.limit.Answered(limit, sent, now)
+	reported.limit.Record(limit, sent, now)
 	reported.at = now
-	if !reported.limit.InForce().Named {
+	if !reported.limit.Current().Limited {
 		delete(r.limits, instance)
 	}
 }
 
-// noteLeaving records that an instance has announced that it leaves. That is permanent, since
+// recordLeaving records that an instance has announced that it leaves. That is permanent, since
 // instance names are not reused.
-func (r *workerReports) noteLeaving(instance string) {
+func (r *workerReports) recordLeaving(instance string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if _, recorded := r.leaving[instance]; recorded {
@@ -78,8 +78,8 @@
 	r.leavingOrder = append(r.leavingOrder, instance)
 }
 
-// staying returns the endpoints whose workers have not announced that they leave.
-func (r *workerReports) staying(endpoints []snapshot.Endpoint) []snapshot.Endpoint {
+// withoutLeaving returns the endpoints whose workers have not announced that they leave.
+func (r *workerReports) withoutLeaving(endpoints []snapshot.Endpoint) []snapshot.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if len(r.leaving) == 0 {
@@ -104,15 +104,15 @@
 	if reported == nil || now.Sub(reported.at) > limitRetention {
 		return 0, false
 	}
-	return reported.limit.InForce().Rate, true
+	return reported.limit.Current().Rate, true
 }
 
-// noteReport records what the response of a worker reports about the worker itself; sent is when
+// recordReport records what the response of a worker reports about the worker itself; sent is when
 // the request was sent.
-func (out *Outbound) noteReport(instance string, got *answer, sent time.Time) {
+func (out *Outbound) recordReport(instance string, got *answer, sent time.Time) {
 	header, protocol := got.response.Header, &out.config.Protocol
 	out.reports.recordLimit(instance, header[protocol.Limit], sent, time.Now())
-	if protocol.saysItLeaves(header) {
-		out.reports.noteLeaving(instance)
+	if protocol.announcesLeaving(header) {
+		out.reports.recordLeaving(instance)
 	}
 }
--- a/internal/traffic/workerlimit/limit.go
+++ b/internal/traffic/workerlimit/limit.go
@@ -21,14 +21,14 @@
 
 // record is an advertised value and the time at which it was received.
 type record struct {
-	value Told
+	value Advertised
 	at    time.Time
 }
 
-// Answered records the value in the response to a request that was sent at one time and
+// Record records the value in the response to a request that was sent at one time and
 // whose response arrived at another. It reports whether the limit in force changes.
-func (l *Limit) Answered(value Told, sent, now time.Time) bool {
-	before := l.InForce()
+func (l *Limit) Record(value Advertised, sent, now time.Time) bool {
+	before := l.Current()
 	if sent.After(l.latest) {
 		l.latest = sent
 	}
@@ -36,26 +36,26 @@
 		return earlier.at.Before(l.latest) || !earlier.value.lowerThan(value)
 	})
 	l.records = append(l.records, record{value, now})
-	if !before.Named {
+	if !before.Limited {
 		l.since = now
 	}
-	return l.InForce() != before
+	return l.Current() != before
 }
 
 // Adopt records a limit that another node has received from the worker, if this node has
 // restarted and not received any response from the worker itself. It reports whether the
 // limit in force changes.
-func (l *Limit) Adopt(value Told, now time.Time) bool {
-	if len(l.records) > 0 || !value.Named {
+func (l *Limit) Adopt(value Advertised, now time.Time) bool {
+	if len(l.records) > 0 || !value.Limited {
 		return false
 	}
-	return l.Answered(value, now, now)
+	return l.Record(value, now, now)
 }
 
-// InForce returns the limit in force.
-func (l *Limit) InForce() Told {
+// Current returns the limit in force.
+func (l *Limit) Current() Advertised {
 	if len(l.records) == 0 {
-		return Told{}
+		return Advertised{}
 	}
 	return l.records[0].value
 }
@@ -63,7 +63,7 @@
 // Since is when the worker first advertised a limit after having had none; the zero time if
 // no limit is in force.
 func (l *Limit) Since() time.Time {
-	if !l.InForce().Named {
+	if !l.Current().Limited {
 		return time.Time{}
 	}
 	return l.since
--- a/internal/traffic/workerlimit/limit_test.go
+++ b/internal/traffic/workerlimit/limit_test.go
@@ -18,7 +18,7 @@
 	return start.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-func named(rate Rate) Told { return Told{Named: true, Rate: rate} }
+func named(rate Rate) Advertised { return Advertised{Limited: true, Rate: rate} }
 
 // A limit is one non-negative decimal number; all other texts are errors without a limit.
 func TestParse(t *testing.T) {
@@ -29,7 +29,7 @@
 	}
 	value, err := Parse(nil)
 	must.NoError(t, err)
-	must.False(t, value.Named)
+	must.False(t, value.Limited)
 	for _, text := range []string{"", " ", ".", "-1", "+1", "NaN", "Inf", "infinity", "7,5", "1e3", "0x10", "1_0", "7 5", "1.2.3", "٧", strings.Repeat("9", 400)} {
 		_, err := Parse([]string{text})
 		must.Error(t, err, must.Sprint(text))
@@ -45,10 +45,10 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		value, err := Parse([]string{text})
 		rate := float64(value.Rate)
-		if err == nil && (!value.Named || math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0) {
+		if err == nil && (!value.Limited || math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0) {
 			t.Fatalf("%q was parsed as %v", text, value)
 		}
-		if err != nil && value != (Told{}) {
+		if err != nil && value != (Advertised{}) {
 			t.Fatalf("%q is invalid, but was parsed as %v", text, value)
 		}
 	})
@@ -58,14 +58,14 @@
 // raise that limit, whenever it arrives. The response to a later request does.
 func TestEarlierRequestsDoNotLiftLimit(t *testing.T) {
 	var limit Limit
-	must.True(t, limit.Answered(named(5), at(0), at(100)))
-	must.False(t, limit.Answered(Told{}, at(50), at(200)))
-	must.False(t, limit.Answered(named(20), at(99), at(110)))
-	must.Eq(t, named(5), limit.InForce())
-	must.True(t, limit.Answered(named(20), at(201), at(220)))
-	must.True(t, limit.Answered(named(5), at(10), at(230))) // a lower limit applies at once
+	must.True(t, limit.Record(named(5), at(0), at(100)))
+	must.False(t, limit.Record(Advertised{}, at(50), at(200)))
+	must.False(t, limit.Record(named(20), at(99), at(110)))
+	must.Eq(t, named(5), limit.Current())
+	must.True(t, limit.Record(named(20), at(201), at(220)))
+	must.True(t, limit.Record(named(5), at(10), at(230))) // a lower limit applies at once
 	must.Eq(t, at(100), limit.Since())
-	must.True(t, limit.Answered(Told{}, at(231), at(300)))
+	must.True(t, limit.Record(Advertised{}, at(231), at(300)))
 	must.True(t, limit.Since().IsZero())
 }
 
@@ -73,17 +73,17 @@
 // the worker itself.
 func TestAdoptOnlyWithoutOwnResponse(t *testing.T) {
 	var limit Limit
-	must.False(t, limit.Adopt(Told{}, at(0)))
+	must.False(t, limit.Adopt(Advertised{}, at(0)))
 	must.True(t, limit.Adopt(named(3), at(1)))
 	must.False(t, limit.Adopt(named(9), at(2)))
-	must.True(t, limit.Answered(Told{}, at(3), at(4)))
+	must.True(t, limit.Record(Advertised{}, at(3), at(4)))
 	must.False(t, limit.Adopt(named(3), at(5)))
 }
 
 // period is a time for which the worker of TestLimitFromResponsesOutOfOrder advertises the
 // same value.
 type period struct {
-	value Told
+	value Advertised
 	ends  int // milliseconds
 }
 
@@ -94,7 +94,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const maxRun = 300
 		periods, end := drawPeriods(t)
-		advertised := func(millisecond int) Told {
+		advertised := func(millisecond int) Advertised {
 			for _, each := range periods {
 				if millisecond < each.ends {
 					return each.value
@@ -108,17 +108,17 @@
 		for now := range end {
 			for _, reply := range arrivals[now] {
 				value := advertised(reply.written)
-				limit.Answered(value, at(reply.sent), at(now))
+				limit.Record(value, at(reply.sent), at(now))
 				history = append(withoutOutdated(history, reply.sent), received{value, now})
 			}
 			for _, each := range history {
-				if inForce := limit.InForce(); each.value.Named && (!inForce.Named || inForce.Rate > each.value.Rate) {
+				if inForce := limit.Current(); each.value.Limited && (!inForce.Limited || inForce.Rate > each.value.Rate) {
 					t.Fatalf("at %d ms %v is in force although %v was received at %d ms, without a response since to a later request", now, inForce, each.value, each.at)
 				}
 			}
 			settled := now >= 2*maxRun && steady(advertised, now-2*maxRun, now)
-			if settled && hasLaterResponse(arrivals, now-2*maxRun, now) && limit.InForce() != advertised(now) {
-				t.Fatalf("at %d ms %v is in force, but the worker advertises %v", now, limit.InForce(), advertised(now))
+			if settled && hasLaterResponse(arrivals, now-2*maxRun, now) && limit.Current() != advertised(now) {
+				t.Fatalf("at %d ms %v is in force, but the worker advertises %v", now, limit.Current(), advertised(now))
 			}
 		}
 	})
@@ -127,8 +127,8 @@
 func drawPeriods(t *rapid.T) (periods []period, end int) {
 	for range rapid.IntRange(1, 5).Draw(t, "periods") {
 		end += rapid.IntRange(100, 2000).Draw(t, "length")
-		value := Told{Named: rapid.Bool().Draw(t, "named")}
-		if value.Named {
+		value := Advertised{Limited: rapid.Bool().Draw(t, "named")}
+		if value.Limited {
 			value.Rate = Rate(rapid.IntRange(0, 20).Draw(t, "rate"))
 		}
 		periods = append(periods, period{value, end})
@@ -156,7 +156,7 @@
 
 // received is an advertised value and the millisecond at which it was received.
 type received struct {
-	value Told
+	value Advertised
 	at    int
 }
 
@@ -167,7 +167,7 @@
 }
 
 // steady reports whether the worker advertised the same value in the whole interval.
-func steady(advertised func(int) Told, from, to int) bool {
+func steady(advertised func(int) Advertised, from, to int) bool {
 	for millisecond := from; millisecond <= to; millisecond++ {
 		if advertised(millisecond) != advertised(to) {
 			return false
--- a/internal/traffic/workerlimit/parse.go
+++ b/internal/traffic/workerlimit/parse.go
@@ -10,15 +10,15 @@
 // Rate is a number of requests per second from all nodes together.
 type Rate float64
 
-// Told is the limit that one response of a worker advertises.
-type Told struct {
-	Named bool // whether there is a limit
-	Rate  Rate
+// Advertised is the limit that one response of a worker advertises.
+type Advertised struct {
+	Limited bool // whether there is a limit
+	Rate    Rate
 }
 
 // lowerThan reports whether a value allows less than another one.
-func (t Told) lowerThan(other Told) bool {
-	return t.Named && (!other.Named || t.Rate < other.Rate)
+func (t Advertised) lowerThan(other Advertised) bool {
+	return t.Limited && (!other.Limited || t.Rate < other.Rate)
 }
 
 // maxDigits bounds the length of a limit's text; workers need no longer ones.
@@ -27,21 +27,21 @@
 // Parse reads the values of the header in which a worker advertises its limit: one
 // non-negative decimal number, such as 7.5. No value means no limit. Other values give an
 // error of kind fault.Worker and must not change the limit.
-func Parse(values []string) (Told, error) {
+func Parse(values []string) (Advertised, error) {
 	const remedy = "make the worker send its limit once per response, as a decimal number of requests per second such as 7.5"
 	if len(values) == 0 {
-		return Told{}, nil
+		return Advertised{}, nil
 	}
 	text := strings.TrimSpace(values[0])
 	if len(values) > 1 || !isDecimal(text) {
 		const shown = 40 // bytes of the value in the error message
-		return Told{}, fault.New(fault.Worker, remedy, "invalid worker limit %.*q in %d header values", shown, text, len(values))
+		return Advertised{}, fault.New(fault.Worker, remedy, "invalid worker limit %.*q in %d header values", shown, text, len(values))
 	}
 	rate, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return Told{}, fault.Wrap(err, fault.Worker, remedy, "invalid worker limit %q", text)
+		return Advertised{}, fault.Wrap(err, fault.Worker, remedy, "invalid worker limit %q", text)
 	}
-	return Told{Named: true, Rate: Rate(rate)}, nil
+	return Advertised{Limited: true, Rate: Rate(rate)}, nil
 }
 
 // isDecimal reports whether a text consists of digits and at most one decimal point.
--- a/internal/transport/config.go
+++ b/internal/transport/config.go
@@ -32,16 +32,16 @@
 
 // Config configures a Transport.
 type Config struct {
-	Bind        string               // host:port of the stream and datagram listeners
-	Self        func() wire.Member   // this node's membership record, sent in Hello; safe for concurrent use
-	Others      func() []wire.Member // optional: peers listed in Busy, to which a rejected dialer may connect instead; safe for concurrent use
-	Network     Network              // default: System
-	Security    Security             // required: the zero value is rejected, set Plain or the files
-	Compression Compression          // default: CompressionDeflate
-	Deliver     func(Received)       // called concurrently from reader goroutines; must not block for long
-	Logger      log.Interface        // default: discards
-	Limits      Limits               // zero fields are set to their defaults
-	Random      *rand.Rand           // source of jitter; the transport serializes its use
+	Bind             string               // host:port of the stream and datagram listeners
+	Self             func() wire.Member   // this node's membership record, sent in Hello; safe for concurrent use
+	AlternativePeers func() []wire.Member // optional: peers listed in Busy, to which a rejected dialer may connect instead; safe for concurrent use
+	Network          Network              // default: System
+	Security         Security             // required: the zero value is rejected, set Plain or the files
+	Compression      Compression          // default: CompressionDeflate
+	Deliver          func(Received)       // called concurrently from reader goroutines; must not block for long
+	Logger           log.Interface        // default: discards
+	Limits           Limits               // zero fields are set to their defaults
+	Random           *rand.Rand           // source of jitter; the transport serializes its use
 }
 
 // Limits bound the resources that peers may use on this node. Zero fields are set to
@@ -97,8 +97,8 @@
 	if c.Network == nil {
 		c.Network = System{}
 	}
-	if c.Others == nil {
-		c.Others = func() []wire.Member { return nil }
+	if c.AlternativePeers == nil {
+		c.AlternativePeers = func() []wire.Member { return nil }
 	}
 	if c.Logger == nil {
 		c.Logger = logging.Discard()
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -96,7 +96,7 @@
 		return
 	}
 	wait := t.jitter.around(t.config.Limits.RetryAfter)
-	busy := &wire.Busy{RetryAfterMS: wait.Milliseconds(), Others: t.config.Others()}
+	busy := &wire.Busy{RetryAfterMS: wait.Milliseconds(), Others: t.config.AlternativePeers()}
 	line, err := wire.Encode(wire.Envelope{From: t.config.Self().Name, Busy: busy})
 	if err != nil {
 		t.limiter.log("transport.encode", t.address, err)
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -116,7 +116,7 @@
 		t.Run(name, func(t *testing.T) {
 			relay := startNode(t, "relay", func(config *Config) {
 				config.Limits = limits
-				config.Others = func() []wire.Member { return []wire.Member{{Name: "other"}} }
+				config.AlternativePeers = func() []wire.Member { return []wire.Member{{Name: "other"}} }
 			})
 			first := startNode(t, "first", nil)
 			first.Send(relay.Address(), stagedMessage("first", 1))
