--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -58,7 +58,7 @@
 // Instance is a worker as recorded by itself in the store.
 type Instance struct {
 	ID            string        `json:"id"`             // of its record; a restarted worker may have the same
-	Born          int64         `json:"born,omitempty"` // start time in Unix milliseconds of the worker's clock; 0: unknown
+	StartedMs     int64         `json:"born,omitempty"` // start time in Unix milliseconds of the worker's clock; 0: unknown
 	Service       string        `json:"service"`
 	Address       string        `json:"address"` // host:port, reached only from the worker's own machine
 	Zone          string        `json:"zone"`
--- a/internal/catalog/incarnation.go
+++ b/internal/catalog/incarnation.go
@@ -13,10 +13,10 @@
 // same id. What is known about an earlier incarnation, such as its load, its remaining cold start
 // or the requests that it crashed on, does not apply to a later one.
 func (i *Instance) Incarnation() string {
-	if i.Born == 0 {
+	if i.StartedMs == 0 {
 		return i.ID
 	}
-	return i.ID + "@" + strconv.FormatInt(i.Born, 36)
+	return i.ID + "@" + strconv.FormatInt(i.StartedMs, 36)
 }
 
 // departures tracks how incarnations have ended, in case the store is restored from a backup that
--- a/internal/catalog/item.go
+++ b/internal/catalog/item.go
@@ -13,11 +13,11 @@
 	Err           error  // why the item can't be used
 }
 
-// Answer is a response of the store as read by a client, in the order of revisions.
-type Answer struct {
+// StoreResponse is a response of the store as read by a client, in the order of revisions.
+type StoreResponse struct {
 	Era      uint64 // of the store at the time of the response
 	From, To uint64
-	Whole    bool
+	Snapshot bool
 	Items    []Item
 	Bytes    int // size of the response
 }
@@ -25,8 +25,8 @@
 // Batch returns the valid contents of a response. It calls problem for each invalid item and
 // leaves that item out. Of several configurations it takes the newest valid one and does not
 // decode the earlier ones.
-func (a *Answer) Batch(problem func(error)) Batch {
-	batch := Batch{Era: a.Era, From: a.From, To: a.To, Snapshot: a.Whole}
+func (a *StoreResponse) Batch(problem func(error)) Batch {
+	batch := Batch{Era: a.Era, From: a.From, To: a.To, Snapshot: a.Snapshot}
 	configured := false
 	for _, item := range slices.Backward(a.Items) {
 		item.rejectInvalid()
--- a/internal/catalog/item_test.go
+++ b/internal/catalog/item_test.go
@@ -31,7 +31,7 @@
 func TestBatchLeavesOutInvalidItems(t *testing.T) {
 	bad := validConfiguration(4)
 	bad.Routes[0].Targets[0].Service = "unknown"
-	answer := Answer{From: 1, To: 9, Items: []Item{
+	answer := StoreResponse{From: 1, To: 9, Items: []Item{
 		{Revision: 2, Configuration: func() (*Configuration, error) { t.Error("an earlier configuration was decoded"); return nil, nil }},
 		{Revision: 3, Configuration: decoder(validConfiguration(3), nil)},
 		{Revision: 4, Instance: validInstance("i-1")},
@@ -69,7 +69,7 @@
 		"has capacity 9":    func(i *Instance) { i.Capacity = 999_999_999 },
 		"is cold for -":     func(i *Instance) { i.ColdRemaining = -time.Second },
 		"is cold for 1000h": func(i *Instance) { i.ColdRemaining = 1000 * time.Hour },
-		"has start time":    func(i *Instance) { i.Born = -1 },
+		"has start time":    func(i *Instance) { i.StartedMs = -1 },
 	} {
 		bad := validInstance("i-1")
 		corrupt(bad)
--- a/internal/catalog/restored_test.go
+++ b/internal/catalog/restored_test.go
@@ -61,7 +61,7 @@
 	worker := h.workers[id]
 	if worker == nil || !worker.alive {
 		h.starts++
-		worker = &simWorker{Instance: Instance{ID: id, Born: h.starts, Address: "10.0.0.1:" + id}, alive: true}
+		worker = &simWorker{Instance: Instance{ID: id, StartedMs: h.starts, Address: "10.0.0.1:" + id}, alive: true}
 		h.workers[id] = worker
 	} else if !worker.Draining && rapid.Bool().Draw(h.t, "leaves") {
 		worker.Draining = true
@@ -242,8 +242,8 @@
 // A worker whose removed record is in the backup gets no requests until it writes the record
 // again or the conflict is settled.
 func TestRestoreDoesNotResurrectWorker(t *testing.T) {
-	ended := Instance{ID: "gone", Born: 1, Address: "10.0.0.1:80"}
-	running := Instance{ID: "lives", Born: 1, Address: "10.0.0.2:80"}
+	ended := Instance{ID: "gone", StartedMs: 1, Address: "10.0.0.1:80"}
+	running := Instance{ID: "lives", StartedMs: 1, Address: "10.0.0.2:80"}
 	state := NewState()
 	state.Apply(Batch{Era: 1, To: 5, Snapshot: true, Changes: []Change{recordChange(1, ended), recordChange(2, running)}})
 	state.Apply(Batch{Era: 1, From: 5, To: 6, Changes: []Change{{Revision: 6, Removed: "gone"}}})
@@ -269,8 +269,8 @@
 // Of two workers at one address the node knows the later one, but the backup has only the earlier
 // one: the earlier one must not get requests.
 func TestRestoreDoesNotResurrectReplacedWorker(t *testing.T) {
-	earlier := Instance{ID: "earlier", Born: 1, Address: "10.0.0.1:80"}
-	later := Instance{ID: "later", Born: 2, Address: "10.0.0.1:80"}
+	earlier := Instance{ID: "earlier", StartedMs: 1, Address: "10.0.0.1:80"}
+	later := Instance{ID: "later", StartedMs: 2, Address: "10.0.0.1:80"}
 	state := NewState()
 	state.Apply(Batch{Era: 1, To: 5, Snapshot: true, Changes: []Change{recordChange(1, earlier), recordChange(5, later)}})
 	state.Apply(restoredSnapshot(recordChange(1, earlier)))
@@ -281,14 +281,14 @@
 // A worker that restarts under the same id is a new incarnation: that the previous one was
 // leaving does not apply to it.
 func TestRestartedWorkerIsNewIncarnation(t *testing.T) {
-	before := Instance{ID: "a", Born: 1, Address: "10.0.0.1:80", Draining: true}
-	after := Instance{ID: "a", Born: 2, Address: "10.0.0.1:80"}
+	before := Instance{ID: "a", StartedMs: 1, Address: "10.0.0.1:80", Draining: true}
+	after := Instance{ID: "a", StartedMs: 2, Address: "10.0.0.1:80"}
 	must.NotEq(t, before.Incarnation(), after.Incarnation())
 	state := NewState()
 	state.Apply(Batch{Era: 1, To: 1, Snapshot: true, Changes: []Change{recordChange(1, before)}})
 	state.Apply(Batch{Era: 1, From: 1, To: 2, Changes: []Change{recordChange(2, after)}})
 	must.Eq(t, []Instance{after}, state.Instances())
-	state.Apply(restoredSnapshot(recordChange(1, Instance{ID: "a", Born: 1, Address: "10.0.0.1:80"})))
+	state.Apply(restoredSnapshot(recordChange(1, Instance{ID: "a", StartedMs: 1, Address: "10.0.0.1:80"})))
 	for _, instance := range state.Instances() {
 		must.True(t, instance.Draining)
 	}
--- a/internal/catalog/state.go
+++ b/internal/catalog/state.go
@@ -178,7 +178,7 @@
 func (s *State) applyRecord(change Change) bool {
 	instance := *change.Instance
 	before, known := s.instances[instance.ID]
-	if known && before.instance.Born != instance.Born {
+	if known && before.instance.StartedMs != instance.StartedMs {
 		s.departures.record(&before.instance)
 	}
 	instance.Draining = instance.Draining || s.departures.isLeaving(&instance)
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -75,8 +75,8 @@
 		return fault.New(fault.Source, remedy, "the record of %q has capacity %d", i.ID, i.Capacity)
 	case i.ColdRemaining < 0 || i.ColdRemaining > maxColdRemaining:
 		return fault.New(fault.Source, remedy, "the record of %q is cold for %s", i.ID, i.ColdRemaining)
-	case i.Born < 0:
-		return fault.New(fault.Source, remedy, "the record of %q has start time %d", i.ID, i.Born)
+	case i.StartedMs < 0:
+		return fault.New(fault.Source, remedy, "the record of %q has start time %d", i.ID, i.StartedMs)
 	}
 	return nil
 }
--- a/internal/command/status/status.go
+++ b/internal/command/status/status.go
@@ -113,7 +113,7 @@
 quarantine %d requests held, %d suspected
 off        %s
 `, status.Node, status.Zone, status.Service, status.Ready, status.Reason,
-		status.Replication.Version, status.Replication.Revision, status.Replication.Era, status.Replication.AgeS,
+		status.Replication.Version, status.Replication.Revision, status.Replication.Era, status.Replication.AgeSeconds,
 		role, status.Replication.Followers, status.Replication.Instances, status.Replication.Doubted, cmp.Or(strings.Join(status.Evacuated, ", "), "no zone"),
 		status.InFlight, status.Slots, status.Queued, status.Quarantine.Held, status.Quarantine.Suspected, strings.Join(status.Off, ", "))
 	if err != nil {
--- a/internal/node/catalog_metrics.go
+++ b/internal/node/catalog_metrics.go
@@ -58,7 +58,7 @@
 	}
 	sink.gauge(readerMetric, gaugeValue(status.Reader))
 	sink.gauge(revisionMetric, float64(status.Version))
-	sink.gauge(catalogAgeMetric, status.AgeS)
+	sink.gauge(catalogAgeMetric, status.AgeSeconds)
 	sink.gauge(storeRevisionMetric, float64(status.Revision))
 	sink.gauge(storeEraMetric, float64(status.Era))
 	sink.gauge(doubtedMetric, float64(status.Doubted))
--- a/internal/replicator/poll_test.go
+++ b/internal/replicator/poll_test.go
@@ -20,15 +20,15 @@
 	err                         error
 }
 
-func (s slowStore) Changes(ctx context.Context, after uint64, _ time.Duration, began func()) (catalog.Answer, error) {
+func (s slowStore) Changes(ctx context.Context, after uint64, _ time.Duration, began func()) (catalog.StoreResponse, error) {
 	if !sleep(ctx, s.responseDelay) {
-		return catalog.Answer{}, ctx.Err()
+		return catalog.StoreResponse{}, ctx.Err()
 	}
 	began()
 	if !sleep(ctx, s.transferTime) {
-		return catalog.Answer{}, ctx.Err()
+		return catalog.StoreResponse{}, ctx.Err()
 	}
-	return catalog.Answer{From: after, To: after + 1}, s.err
+	return catalog.StoreResponse{From: after, To: after + 1}, s.err
 }
 
 func sleep(ctx context.Context, duration time.Duration) bool {
--- a/internal/replicator/replicator.go
+++ b/internal/replicator/replicator.go
@@ -27,12 +27,12 @@
 
 // Store is a linearizable store. The replicator only reads it.
 type Store interface {
-	// Whole returns a full snapshot. It calls began when the response begins to arrive.
-	Whole(ctx context.Context, began func()) (catalog.Answer, error)
+	// Snapshot returns a full snapshot. It calls began when the response begins to arrive.
+	Snapshot(ctx context.Context, began func()) (catalog.StoreResponse, error)
 	// Changes returns the changes after a revision; if there are none, it waits for the first
 	// one, up to the given time. It returns ErrHistoryGone if these changes are no longer
 	// available. It calls began when the response begins to arrive.
-	Changes(ctx context.Context, after uint64, wait time.Duration, began func()) (catalog.Answer, error)
+	Changes(ctx context.Context, after uint64, wait time.Duration, began func()) (catalog.StoreResponse, error)
 	// Recorded reports whether an instance has a record.
 	Recorded(ctx context.Context, id string) (bool, error)
 }
@@ -267,9 +267,9 @@
 	}
 }
 
-func (r *Replicator) fetch(ctx context.Context, poll replication.Poll, began func()) (catalog.Answer, error) {
+func (r *Replicator) fetch(ctx context.Context, poll replication.Poll, began func()) (catalog.StoreResponse, error) {
 	if poll.Snapshot {
-		return r.config.Store.Whole(ctx, began)
+		return r.config.Store.Snapshot(ctx, began)
 	}
 	return r.config.Store.Changes(ctx, poll.After, poll.Wait, began)
 }
--- a/internal/replicator/status.go
+++ b/internal/replicator/status.go
@@ -4,17 +4,17 @@
 
 // Status is the replication state reported to operators.
 type Status struct {
-	Era       uint64  `json:"era"` // incremented each time the store is restored from a backup; 0: unknown
-	Revision  uint64  `json:"revision"`
-	Version   uint64  `json:"version"` // of the configuration in force
-	AgeS      float64 `json:"ageSeconds"`
-	Reader    bool    `json:"reader"`
-	Following string  `json:"following,omitempty"`
-	Followers int     `json:"followers"`
-	Instances int     `json:"instances"`
-	Doubted   int     `json:"doubted,omitempty"` // records and evacuation orders of a restored backup that are not applied yet
-	Answered  uint64  `json:"storeAnswers"`      // store calls that succeeded
-	Failed    uint64  `json:"storeFailures"`     // store calls that failed
+	Era        uint64  `json:"era"` // incremented each time the store is restored from a backup; 0: unknown
+	Revision   uint64  `json:"revision"`
+	Version    uint64  `json:"version"` // of the configuration in force
+	AgeSeconds float64 `json:"ageSeconds"`
+	Reader     bool    `json:"reader"`
+	Following  string  `json:"following,omitempty"`
+	Followers  int     `json:"followers"`
+	Instances  int     `json:"instances"`
+	Doubted    int     `json:"doubted,omitempty"` // records and evacuation orders of a restored backup that are not applied yet
+	Answered   uint64  `json:"storeAnswers"`      // store calls that succeeded
+	Failed     uint64  `json:"storeFailures"`     // store calls that failed
 }
 
 type statusRequest struct{ reply chan Status }
@@ -36,16 +36,16 @@
 	now := r.config.Now()
 	age, _ := r.machine.Age(now)
 	status := Status{
-		Era:       r.machine.State().Point().Era,
-		Revision:  r.machine.State().Revision(),
-		Doubted:   r.machine.State().Doubted(),
-		AgeS:      age.Seconds(),
-		Reader:    r.machine.Reader(now),
-		Following: r.machine.Following(),
-		Followers: len(r.followers),
-		Answered:  r.succeeded,
-		Failed:    r.failed,
-		Instances: len(r.machine.State().Instances()),
+		Era:        r.machine.State().Point().Era,
+		Revision:   r.machine.State().Revision(),
+		Doubted:    r.machine.State().Doubted(),
+		AgeSeconds: age.Seconds(),
+		Reader:     r.machine.Reader(now),
+		Following:  r.machine.Following(),
+		Followers:  len(r.followers),
+		Answered:   r.succeeded,
+		Failed:     r.failed,
+		Instances:  len(r.machine.State().Instances()),
 	}
 	if configuration := r.machine.State().Configuration(); configuration != nil {
 		status.Version = configuration.Version
