--- a/cmd/sliphead-lab/experiments.go
+++ b/cmd/sliphead-lab/experiments.go
@@ -15,15 +15,15 @@
 	"sliphead/lab/report"
 )
 
-// meshFlags are common to the commands that start meshes.
+// meshFlags holds the flags of all commands that start meshes.
 type meshFlags struct {
 	NodeBinary string `help:"The sliphead program." default:"bin/sliphead"`
-	Octet      int    `help:"Second octet of the loopback addresses, 1 to 126; two meshes use two in a row; 0 takes free ones." default:"0"`
-	Seed       uint64 `help:"Decides which datagrams are lost." default:"1"`
-	Out        string `help:"Directory for settings, logs and the report; a temporary one when empty." type:"path"`
+	Octet      int    `help:"Second octet of the loopback addresses, 1 to 126; two meshes use consecutive octets; 0 selects free ones." default:"0"`
+	Seed       uint64 `help:"Seed of the random choice of lost datagrams." default:"1"`
+	Out        string `help:"Directory for settings, logs and the report; a temporary directory when empty." type:"path"`
 }
 
-// directory returns where a run writes, and what removes it afterwards.
+// directory returns the output directory of a run and a function that removes it if it is temporary.
 func (f meshFlags) directory() (string, func(), error) {
 	if f.Out != "" {
 		return f.Out, func() {}, nil
@@ -51,7 +51,7 @@
 	return mesh.Options{NodeBinary: node, LabBinary: lab, Directory: directory, Octet: octet, Seed: f.Seed}, nil
 }
 
-// runFile runs one experiment file with its outputs in a directory.
+// runFile runs one experiment file and writes its output to directory. index is added to a given octet.
 func (f meshFlags) runFile(ctx context.Context, path, directory string, index int, logger log.Interface) (*experiment.Outcome, error) {
 	spec, plan, err := experiment.Read(path)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return experiment.Run(ctx, spec, plan, experiment.Options{Mesh: options, Logger: logger})
 }
 
-// conclude writes the report and the result line. A failed verdict is an error.
+// conclude writes the report and the result line. It returns an error if the verdict is not pass.
 func conclude(outcome *experiment.Outcome, directory string, logger log.Interface) error {
 	if err := report.Write(directory, outcome); err != nil {
 		return err
@@ -77,20 +77,20 @@
 	return nil
 }
 
-// demoCommand runs both users' meshes.
+// demoCommand runs the demo experiments of both users at the same time.
 type demoCommand struct {
 	meshFlags
 	Experiments string `help:"Directory of the experiment files." default:"experiments" type:"existingdir"`
 }
 
-// demoBound is the longest that the demo may take.
-const demoBound = 55 * time.Second
+// demoTimeout is the time limit of the whole demo.
+const demoTimeout = 55 * time.Second
 
 var demoFiles = []string{"demo-chandrika.yaml", "demo-tan-seng-huat.yaml"}
 
 // Run implements the command.
 func (c *demoCommand) Run(ctx context.Context, logger log.Interface) error {
-	ctx, cancel := context.WithTimeout(ctx, demoBound)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	directory, clean, err := c.directory()
 	if err != nil {
@@ -134,7 +134,7 @@
 	return conclude(outcome, directory, logger)
 }
 
-// reportCommand draws plots.
+// reportCommand draws the plots of a report.
 type reportCommand struct {
 	Directory string `arg:"" help:"Directory given to run as --out." type:"existingdir"`
 	Format    string `help:"Format of the plots." enum:"svg,png" default:"svg"`
--- a/cmd/sliphead-lab/latency.go
+++ b/cmd/sliphead-lab/latency.go
@@ -13,15 +13,15 @@
 	"sliphead/lab/latency"
 )
 
-// latencyCommand measures the two hops.
+// latencyCommand measures the latency that the two hops add.
 type latencyCommand struct {
 	meshFlags
-	Former    string        `help:"Another sliphead program to compare with in the same run." type:"existingfile" optional:""`
-	Rates     []float64     `help:"Requests a second on one pair of nodes, measured one after the other." default:"55,550,2750"`
-	Span      time.Duration `help:"Length of a span; spans to the worker directly and through the nodes alternate." default:"2s"`
-	Spans     int           `help:"Spans of each path for each rate." default:"10"`
-	RunMillis float64       `help:"Time that a request runs at the worker, milliseconds." default:"1"`
-	Slots     int           `help:"Slots of the worker." default:"64"`
+	Former    string        `help:"Another build of the sliphead program to compare with in the same run." type:"existingfile" optional:""`
+	Rates     []float64     `help:"Request rates per second on one pair of nodes, measured one after the other." default:"55,550,2750"`
+	Span      time.Duration `help:"Length of a measured span; direct spans and spans through the nodes alternate." default:"2s"`
+	Spans     int           `help:"Number of spans for each path and rate." default:"10"`
+	RunMillis float64       `help:"Run time of a request at the worker, milliseconds." default:"1"`
+	Slots     int           `help:"Number of the worker's slots." default:"64"`
 }
 
 // Run implements the command.
@@ -44,26 +44,26 @@
 		fields := figures.Fields()
 		fields["event"] = "experiment.result"
 		fields["name"] = "latency"
-		fields["verdict"] = verdictOf(figures.Wrong == 0)
+		fields["verdict"] = verdict(figures.Wrong == 0)
 		logger.WithFields(fields).Info("")
 	}
 	if err == nil && wrong > 0 {
-		err = fault.New(fault.Worker, "find the hop that mixed the answers", "%d wrong answers", wrong)
+		err = fault.New(fault.Worker, "find the hop that mixed up responses", "%d responses were wrong", wrong)
 	}
 	return err
 }
 
-func verdictOf(passed bool) string {
+func verdict(passed bool) string {
 	if passed {
 		return "pass"
 	}
 	return "fail"
 }
 
-// relayCommand passes bytes on until its standard input ends.
+// relayCommand forwards connections until its standard input is closed.
 type relayCommand struct {
 	Listen string `help:"Address to listen on, IP:port." required:""`
-	To     string `help:"Address to pass bytes on to, IP:port." required:""`
+	To     string `help:"Address to forward connections to, IP:port." required:""`
 }
 
 // Run implements the command.
--- a/cmd/sliphead-lab/main.go
+++ b/cmd/sliphead-lab/main.go
@@ -1,5 +1,5 @@
-// Command sliphead-lab holds the stand-ins and experiments with which sliphead
-// is tried: a whole mesh with its platform, workers and callers on one machine.
+// Command sliphead-lab runs stand-ins and experiments that test sliphead: a
+// complete mesh with its platform, workers and callers on one machine.
 package main
 
 import (
@@ -14,15 +14,15 @@
 	"sliphead/lab/event"
 )
 
-// commands is the grammar of the command line.
+// commands defines the command line.
 type commands struct {
-	Demo    demoCommand    `cmd:"" help:"Run both users' meshes small, end to end, and end by itself."`
+	Demo    demoCommand    `cmd:"" help:"Run small end-to-end meshes of both users; ends without a signal."`
 	Run     runCommand     `cmd:"" help:"Run an experiment file."`
-	Latency latencyCommand `cmd:"" help:"Measure what the two hops add to a call, against direct calls in the same run."`
-	Relay   relayCommand   `cmd:"" hidden:"" help:"Pass bytes on, to compare with."`
+	Latency latencyCommand `cmd:"" help:"Measure the latency that the two hops add to a call, compared with direct calls in the same run."`
+	Relay   relayCommand   `cmd:"" hidden:"" help:"Forward connections, as a baseline for latency."`
 	Report  reportCommand  `cmd:"" help:"Draw the plots of a run's report."`
-	Worker  workerCommand  `cmd:"" help:"Run one stand-in worker until a signal ends it."`
-	Source  sourceCommand  `cmd:"" help:"Run a stand-in configuration service until a signal ends it."`
+	Worker  workerCommand  `cmd:"" help:"Run one stand-in worker until it receives a signal."`
+	Source  sourceCommand  `cmd:"" help:"Run a stand-in configuration service until it receives a signal."`
 }
 
 func main() {
--- a/cmd/sliphead-lab/standins.go
+++ b/cmd/sliphead-lab/standins.go
@@ -16,9 +16,9 @@
 	"sliphead/lab/worker"
 )
 
-// drainBound is the longest that a stand-in's requests in flight may take
-// after a signal.
-const drainBound = 10 * time.Second
+// drainTimeout is how long a worker waits after a signal for its requests in
+// flight. The stand-in source also uses it as its timeout for request headers.
+const drainTimeout = 10 * time.Second
 
 // workerCommand runs one stand-in worker.
 type workerCommand struct {
@@ -33,7 +33,7 @@
 	}
 	logger.WithFields(log.Fields{"event": "worker.started", "worker": c.Name, "address": started.Address()}).Info("")
 	<-ctx.Done()
-	bounded, cancel := context.WithTimeout(context.Background(), drainBound)
+	bounded, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	started.Stop(bounded)
 	return nil
@@ -46,7 +46,7 @@
 	Secrets  []string `help:"Secrets to serve, as name=value."`
 }
 
-// reloadInterval is the time between two looks at the document file.
+// reloadInterval is the time between two checks of the document file.
 const reloadInterval = time.Second
 
 // Run implements the command.
@@ -59,7 +59,7 @@
 	if err := c.publish(service, logger); err != nil {
 		return err
 	}
-	server := &http.Server{Addr: c.Listen, Handler: service, ReadHeaderTimeout: drainBound}
+	server := &http.Server{Addr: c.Listen, Handler: service, ReadHeaderTimeout: drainTimeout}
 	go c.reload(ctx, service, logger)
 	go func() {
 		<-ctx.Done()
@@ -87,18 +87,18 @@
 	return err
 }
 
-// reload publishes the document again whenever its file has changed.
+// reload polls the document file and publishes the document whenever the file has changed.
 func (c *sourceCommand) reload(ctx context.Context, service *source.Service, logger log.Interface) {
 	var seen time.Time
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
-		if changed := modified(c.Document); !seen.IsZero() && changed.After(seen) {
+		if changed := modificationTime(c.Document); !seen.IsZero() && changed.After(seen) {
 			if err := c.publish(service, logger); err != nil {
 				logger.WithFields(log.Fields{"event": "configuration.refused", "error": err.Error()}).Error("")
 			}
 		}
-		seen = modified(c.Document)
+		seen = modificationTime(c.Document)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -107,7 +107,7 @@
 	}
 }
 
-func modified(path string) time.Time {
+func modificationTime(path string) time.Time {
 	information, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/cmd/sliphead/main.go
+++ b/cmd/sliphead/main.go
@@ -1,5 +1,5 @@
-// Command sliphead is the system's one program: a node, and the commands by
-// which operators check declarations and watch nodes.
+// Command sliphead runs a node, and provides the commands with which operators
+// check declarations and inspect nodes.
 package main
 
 import (
@@ -20,17 +20,17 @@
 	"sliphead/platform"
 )
 
-// grammar is the command line.
+// grammar defines the command line.
 type grammar struct {
-	Node     node.Command     `cmd:"" help:"Run a node beside a worker, or as an edge."`
+	Node     node.Command     `cmd:"" help:"Run a node for a worker, or as an edge."`
 	Check    check.Command    `cmd:"" help:"Check a directory of declarations."`
-	Plan     plan.Command     `cmd:"" help:"Show which routes gain or lose which workers by a change, now and over the coming week."`
-	Explain  explain.Command  `cmd:"" help:"Say for each worker of a route why it takes traffic or not."`
-	Status   status.Command   `cmd:"" help:"Show what a node knows: versions, readers, members, what waits and why."`
+	Plan     plan.Command     `cmd:"" help:"Show which workers a change adds to or removes from each route, now and over the next week."`
+	Explain  explain.Command  `cmd:"" help:"Explain for each worker of a route why it receives traffic or not."`
+	Status   status.Command   `cmd:"" help:"Show a node's state: versions, readers, members, and what is pending and why."`
 	Trace    trace.Command    `cmd:"" help:"Follow one request through the logs of several nodes."`
-	Refusals refusals.Command `cmd:"" help:"Show from the logs of all nodes when and why requests were refused."`
-	Release  release.Command  `cmd:"" help:"Let a request go that is held because workers ended under it."`
-	Drain    drain.Command    `cmd:"" help:"Begin a node's planned stop."`
+	Refusals refusals.Command `cmd:"" help:"Show from the logs of all nodes when and why requests were rejected."`
+	Release  release.Command  `cmd:"" help:"Release a request from quarantine, where it is because workers terminated while they ran it."`
+	Drain    drain.Command    `cmd:"" help:"Start the planned shutdown of a node."`
 }
 
 func main() {
