--- a/lab/experiment/actions.go
+++ b/lab/experiment/actions.go
@@ -17,60 +17,60 @@
 	"sliphead/lab/worker"
 )
 
-// action carries out a step. It adds a violation when an expectation does not
-// hold, and returns an error only when the step cannot be carried out.
+// action executes a step. It adds a violation if an expectation is not met, and
+// returns an error only if the step cannot be executed.
 type action func(context.Context, *run, Step) error
 
 var actions map[Action]action
 
 func init() {
 	actions = map[Action]action{
-		ActionPublish:       publish,
-		ActionPublishBad:    publishBad,
-		ActionSource:        failSource,
-		ActionStale:         func(_ context.Context, r *run, _ Step) error { return r.mesh.Source.Stale(1) },
-		ActionFresh:         func(_ context.Context, r *run, _ Step) error { r.mesh.Source.Fresh(); return nil },
-		ActionSecret:        setSecret,
-		ActionKill:          onNodes(func(node *mesh.Node) error { node.Kill(); return nil }),
-		ActionStart:         onNodes(startNode),
-		ActionFreeze:        onNodes(func(node *mesh.Node) error { node.Freeze(); return nil }),
-		ActionThaw:          onNodes(func(node *mesh.Node) error { node.Thaw(); return nil }),
-		ActionDrain:         onNodes(func(node *mesh.Node) error { node.Drain(); return nil }),
-		ActionCut:           cutZone(true),
-		ActionHeal:          cutZone(false),
-		ActionLoss:          setLoss,
-		ActionFault:         setFault,
-		ActionRate:          setRate,
-		ActionMeasure:       measure,
-		ActionWait:          wait,
-		ActionWaitFirst:     waitFirst,
-		ActionWaitInForce:   waitInForce,
-		ActionWaitReady:     waitReady,
-		ActionExpectWorkers: expectWorkers,
-		ActionExpectExit:    expectExit,
-		ActionExpectHeld:    expectHeld,
-		ActionExpectNone:    expectNoRuns,
-		ActionExpectLimit:   expectAnswered,
+		ActionPublish:          publish,
+		ActionPublishBad:       publishBad,
+		ActionSource:           failSource,
+		ActionStale:            func(_ context.Context, r *run, _ Step) error { return r.mesh.Source.Stale(1) },
+		ActionFresh:            func(_ context.Context, r *run, _ Step) error { r.mesh.Source.Fresh(); return nil },
+		ActionSecret:           setSecret,
+		ActionKill:             onNodes(func(node *mesh.Node) error { node.Kill(); return nil }),
+		ActionStart:            onNodes(startNode),
+		ActionFreeze:           onNodes(func(node *mesh.Node) error { node.Freeze(); return nil }),
+		ActionThaw:             onNodes(func(node *mesh.Node) error { node.Thaw(); return nil }),
+		ActionDrain:            onNodes(func(node *mesh.Node) error { node.Drain(); return nil }),
+		ActionCut:              setZoneCut(true),
+		ActionHeal:             setZoneCut(false),
+		ActionLoss:             setLoss,
+		ActionFault:            setFault,
+		ActionRate:             setRate,
+		ActionMeasure:          measure,
+		ActionWait:             wait,
+		ActionWaitFirst:        waitFirst,
+		ActionWaitInForce:      waitInForce,
+		ActionWaitReady:        waitReady,
+		ActionExpectWorkers:    expectWorkers,
+		ActionExpectExit:       expectExit,
+		ActionExpectNotInForce: expectNotInForce,
+		ActionExpectNoRuns:     expectNoRuns,
+		ActionExpectAnswered:   expectAnswered,
 	}
 }
 
-func (r *run) violate(format string, args ...any) {
+func (r *run) addViolation(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	r.violations = append(r.violations, text)
 	r.logger.WithFields(log.Fields{"event": "experiment.violation", "what": text}).Info("")
 }
 
-// publish changes the document and publishes it.
+// publish applies the step's changes to a copy of the document and publishes it.
 func publish(_ context.Context, r *run, step Step) error {
 	next, err := cloneDocument(r.document)
 	if err != nil {
 		return err
 	}
-	if err := change(next, step, time.Now()); err != nil {
+	if err := applyChanges(next, step, time.Now()); err != nil {
 		return err
 	}
 	r.document = next
-	r.published = time.Now()
+	r.publishedAt = time.Now()
 	r.revision, err = r.mesh.Source.Publish(next)
 	r.logger.WithFields(log.Fields{"event": "configuration.published", "revision": r.revision}).Info("")
 	return err
@@ -85,7 +85,7 @@
 	return clone, json.Unmarshal(data, clone)
 }
 
-func change(document *declaration.Document, step Step, now time.Time) error {
+func applyChanges(document *declaration.Document, step Step, now time.Time) error {
 	for name, labels := range step.Labels {
 		index := slices.IndexFunc(document.Workers, func(worker declaration.Worker) bool { return worker.Name == name })
 		if index < 0 {
@@ -105,16 +105,16 @@
 		document.Selectors[index].Windows = []declaration.Window{window}
 	}
 	for route, secret := range step.Secrets {
-		if err := needSecret(document, route, secret); err != nil {
+		if err := requireSecret(document, route, secret); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// needSecret makes a route need a secret, whose value is its name with the
-// ending "-value".
-func needSecret(document *declaration.Document, route, secret string) error {
+// requireSecret makes a route require a secret. The value of the secret is its
+// name with the suffix "-value".
+func requireSecret(document *declaration.Document, route, secret string) error {
 	index := slices.IndexFunc(document.Routes, func(each declaration.Route) bool { return each.Name == route })
 	if index < 0 {
 		return fault.New(fault.Settings, "name a route of the plan", "unknown route %q", route)
@@ -130,7 +130,7 @@
 
 func secretValue(name string) string { return name + "-value" }
 
-// windowAround returns a window that is open, or closed, for hours around now.
+// windowAround returns a window that is open from 2 h before now to 2 h after, or one that opens 4 h after now.
 func windowAround(now time.Time, timeZone string, state WindowState) (declaration.Window, error) {
 	location, err := time.LoadLocation(timeZone)
 	if err != nil {
@@ -151,7 +151,7 @@
 		return err
 	}
 	bad.Routes[0].Service = "service-that-is-not-declared"
-	r.published = time.Now()
+	r.publishedAt = time.Now()
 	r.revision, err = r.mesh.Source.Publish(bad)
 	return err
 }
@@ -177,7 +177,7 @@
 	return node.Start()
 }
 
-// onNodes applies an effect to the selected nodes.
+// onNodes returns an action that applies effect to each selected node.
 func onNodes(effect func(*mesh.Node) error) action {
 	return func(_ context.Context, r *run, step Step) error {
 		nodes, err := r.selectNodes(step.Nodes)
@@ -193,7 +193,7 @@
 	}
 }
 
-func cutZone(cut bool) action {
+func setZoneCut(cut bool) action {
 	return func(_ context.Context, r *run, step Step) error {
 		known := slices.ContainsFunc(r.mesh.Plan.Zones, func(zone declaration.Zone) bool { return zone.Name == step.Zone })
 		if !known {
--- a/lab/experiment/expect.go
+++ b/lab/experiment/expect.go
@@ -12,18 +12,18 @@
 	"sliphead/lab/mesh"
 )
 
-const standardBound = 5 * time.Second // of steps that give none
+const defaultTimeout = 5 * time.Second // for steps without their own
 
-func (s Step) bound() time.Duration {
+func (s Step) timeout() time.Duration {
 	if s.Within > 0 {
 		return s.Within
 	}
-	return standardBound
+	return defaultTimeout
 }
 
-func wait(ctx context.Context, _ *run, step Step) error { return pass(ctx, step.For) }
+func wait(ctx context.Context, _ *run, step Step) error { return sleep(ctx, step.For) }
 
-func pass(ctx context.Context, duration time.Duration) error {
+func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-time.After(duration):
 		return nil
@@ -32,9 +32,9 @@
 	}
 }
 
-// waitFirst waits until some node has the newest revision in force.
+// waitFirst waits until the newest revision is in force on at least one node.
 func waitFirst(ctx context.Context, r *run, step Step) error {
-	ctx, cancel := context.WithTimeout(ctx, step.bound())
+	ctx, cancel := context.WithTimeout(ctx, step.timeout())
 	defer cancel()
 	first := make(chan struct{}, len(r.mesh.Nodes))
 	for _, node := range r.mesh.Nodes {
@@ -47,38 +47,38 @@
 	select {
 	case <-first:
 	case <-ctx.Done():
-		r.violate("revision %d came into force on no node within %s", r.revision, step.bound())
+		r.addViolation("revision %d came into force on no node within %s", r.revision, step.timeout())
 	}
 	return nil
 }
 
-// waitInForce waits until the newest revision is in force on the selected
-// nodes and samples how long each took.
+// waitInForce waits until the newest revision is in force on the selected nodes
+// and records the convergence time of each.
 func waitInForce(ctx context.Context, r *run, step Step) error {
 	nodes, err := r.selectNodes(step.Nodes)
 	if err != nil {
 		return err
 	}
-	bounded, cancel := context.WithTimeout(ctx, step.bound())
+	bounded, cancel := context.WithTimeout(ctx, step.timeout())
 	defer cancel()
-	behind := r.mesh.Record.WaitInForce(bounded, namesOf(nodes), r.document.Epoch, r.revision)
+	behind := r.mesh.Record.WaitInForce(bounded, nodeNames(nodes), r.document.Epoch, r.revision)
 	if len(behind) > 0 {
-		r.violate("revision %d is not in force on %v within %s", r.revision, behind, step.bound())
+		r.addViolation("revision %d is not in force on %v within %s", r.revision, behind, step.timeout())
 	}
 	for _, node := range nodes {
 		if !slices.Contains(behind, node.Name) {
-			r.sample(node)
+			r.recordConvergence(node)
 		}
 	}
 	return nil
 }
 
-func (r *run) sample(node *mesh.Node) {
+func (r *run) recordConvergence(node *mesh.Node) {
 	activation, found := r.mesh.Record.FirstInForce(node.Name, r.document.Epoch, r.revision)
 	if !found {
 		return
 	}
-	took := max(0, activation.At.Sub(r.published))
+	took := max(0, activation.At.Sub(r.publishedAt))
 	r.samples = append(r.samples, Sample{Mesh: r.mesh.Plan.Name, Node: node.Name, Revision: r.revision, Convergence: took})
 	r.logger.WithFields(log.Fields{
 		"event":    "version.in-force",
@@ -93,19 +93,19 @@
 	if err != nil {
 		return err
 	}
-	bounded, cancel := context.WithTimeout(ctx, step.bound())
+	bounded, cancel := context.WithTimeout(ctx, step.timeout())
 	defer cancel()
 	for _, node := range nodes {
 		if err := node.WaitReady(bounded); err != nil {
-			r.violate("%v", err)
+			r.addViolation("%v", err)
 		}
 	}
 	return nil
 }
 
-// answeredSince returns which workers answered attempts of a class that were
-// intended to start since a moment.
-func (r *run) answeredSince(class string, from time.Time) (map[string]int, error) {
+// answeredSinceByWorker returns the number of answered attempts by worker, of the
+// attempts of a class with an intended start at or after from.
+func (r *run) answeredSinceByWorker(class string, from time.Time) (map[string]int, error) {
 	known := slices.ContainsFunc(r.spec.Load, func(each load.Class) bool { return each.Name == class })
 	if !known {
 		return nil, fault.New(fault.Settings, "name a class of the load", "unknown class %q", class)
@@ -113,33 +113,33 @@
 	return r.generator.Result.AnsweredBy(class, from, time.Now()), nil
 }
 
-// answersUntil lets the step's time pass, and then up to its bound until all
-// attempts intended to start in it have ended and the answers are enough. It
-// returns which workers answered.
-func (r *run) answersUntil(ctx context.Context, step Step, enough func(map[string]int) bool) (map[string]int, error) {
+// waitForResponses waits for the step's duration, and then, up to its timeout,
+// until all attempts with an intended start in that duration have ended and
+// enough accepts the responses. It returns the number of responses by worker.
+func (r *run) waitForResponses(ctx context.Context, step Step, enough func(map[string]int) bool) (map[string]int, error) {
 	from := time.Now()
-	if err := pass(ctx, step.For); err != nil {
+	if err := sleep(ctx, step.For); err != nil {
 		return nil, err
 	}
 	to := time.Now()
-	bound := to.Add(step.bound())
+	deadline := to.Add(step.timeout())
 	for {
 		settled := r.generator.Result.Pending(step.Class, from, to) == 0
-		answered, err := r.answeredSince(step.Class, from)
-		if err != nil || settled && enough(answered) || time.Now().After(bound) {
+		answered, err := r.answeredSinceByWorker(step.Class, from)
+		if err != nil || settled && enough(answered) || time.Now().After(deadline) {
 			return answered, err
 		}
-		if err := pass(ctx, answersPoll); err != nil {
+		if err := sleep(ctx, responsePollInterval); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// answersPoll is the time between two looks at the answers.
-const answersPoll = 50 * time.Millisecond
+// responsePollInterval is the time between two checks of the responses.
+const responsePollInterval = 50 * time.Millisecond
 
 func expectWorkers(ctx context.Context, r *run, step Step) error {
-	answered, err := r.answersUntil(ctx, step, func(answered map[string]int) bool {
+	answered, err := r.waitForResponses(ctx, step, func(answered map[string]int) bool {
 		missing := slices.ContainsFunc(step.Workers, func(name string) bool { return answered[name] == 0 })
 		return !missing
 	})
@@ -148,12 +148,12 @@
 	}
 	for _, name := range step.Workers {
 		if answered[name] == 0 {
-			r.violate("class %s was answered by %v, not by %s", step.Class, answered, name)
+			r.addViolation("class %s received responses from %v, but none from %s", step.Class, answered, name)
 		}
 	}
 	for name := range answered {
 		if !slices.Contains(step.Workers, name) {
-			r.violate("class %s was answered by %s, which is not selected", step.Class, name)
+			r.addViolation("class %s received responses from %s, which is not selected", step.Class, name)
 		}
 	}
 	r.logger.WithFields(log.Fields{"event": "requests.follow", "class": step.Class, "answered_by": answered}).Info("")
@@ -168,12 +168,12 @@
 		}
 		return total
 	}
-	answered, err := r.answersUntil(ctx, step, func(answered map[string]int) bool { return sum(answered) >= step.AtLeast })
+	answered, err := r.waitForResponses(ctx, step, func(answered map[string]int) bool { return sum(answered) >= step.AtLeast })
 	if err != nil {
 		return err
 	}
 	if total := sum(answered); total < step.AtLeast {
-		r.violate("class %s was answered %d times within %s, want %d", step.Class, total, step.For+step.bound(), step.AtLeast)
+		r.addViolation("class %s received %d responses within %s, want %d", step.Class, total, step.For+step.timeout(), step.AtLeast)
 	}
 	return nil
 }
@@ -184,32 +184,32 @@
 		return err
 	}
 	for _, node := range nodes {
-		code, ended := node.WaitExit(step.bound())
+		code, ended := node.WaitExit(step.timeout())
 		if !ended || code != 0 {
-			r.violate("node %s: ended=%t exit code %d within %s", node.Name, ended, code, step.bound())
+			r.addViolation("node %s: exited=%t with code %d within %s, want exit with code 0", node.Name, ended, code, step.timeout())
 		}
 	}
 	return nil
 }
 
-// expectHeld lets time pass, in which the newest revision may not come into
-// force.
-func expectHeld(ctx context.Context, r *run, step Step) error {
-	if err := pass(ctx, step.For); err != nil {
+// expectNotInForce checks that the newest revision does not come into force on any
+// node within the step's duration.
+func expectNotInForce(ctx context.Context, r *run, step Step) error {
+	if err := sleep(ctx, step.For); err != nil {
 		return err
 	}
 	for _, node := range r.mesh.Nodes {
 		if _, found := r.mesh.Record.FirstInForce(node.Name, r.document.Epoch, r.revision); found {
-			r.violate("revision %d, which must not, came into force on %s", r.revision, node.Name)
+			r.addViolation("revision %d came into force on %s, but must not", r.revision, node.Name)
 		}
 	}
 	return nil
 }
 
-// expectNoRuns lets time pass, in which the named workers may begin no run.
+// expectNoRuns checks that the named workers start no run within the step's duration.
 func expectNoRuns(ctx context.Context, r *run, step Step) error {
 	from := time.Now()
-	if err := pass(ctx, step.For); err != nil {
+	if err := sleep(ctx, step.For); err != nil {
 		return err
 	}
 	for _, each := range r.mesh.Workers {
@@ -222,7 +222,7 @@
 		}
 		for _, entry := range runs {
 			if entry.Begun.After(from) {
-				r.violate("worker %s began %s after it had left", each.Name, entry.Nonce)
+				r.addViolation("worker %s started a run of %s, but must start none", each.Name, entry.Nonce)
 				break
 			}
 		}
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -17,7 +17,7 @@
 	"sliphead/lab/mesh"
 )
 
-// runDemo runs the first steps of Chandrika's demo on fake nodes with a fault.
+// runDemo runs the first steps of demo-chandrika.yaml on fake nodes with a fault, "" for none.
 func runDemo(t *testing.T, fault string, steps int) *Outcome {
 	t.Helper()
 	t.Setenv(fakeFault, fault)
@@ -27,7 +27,7 @@
 	spec.Steps = spec.Steps[:steps]
 	for index := range spec.Steps {
 		spec.Steps[index].For = 200 * time.Millisecond
-		if fault != "" { // what is waited for may never come
+		if fault != "" { // a step's condition may never be met
 			spec.Steps[index].Within = time.Second
 		}
 	}
@@ -53,10 +53,10 @@
 
 func TestDemoFailsWhenNodesMisbehave(t *testing.T) {
 	for fault, finding := range map[string]string{
-		faultGoesBack:   "went from version",
-		faultIgnores:    "which is not selected",
-		faultRunsTwice:  "ran 2 times",
-		faultSaysNotRun: "said to be not run, yet a worker ran it",
+		faultOlderVersion:   "went from version",
+		faultIgnoresUpdates: "which is not selected",
+		faultRunsTwice:      "ran 2 times",
+		faultReportsNotRun:  "said to be not run, yet a worker ran it",
 	} {
 		t.Run(fault, func(t *testing.T) {
 			result := runDemo(t, fault, 6)
--- a/lab/experiment/main_test.go
+++ b/lab/experiment/main_test.go
@@ -24,7 +24,7 @@
 	"sliphead/lab/worker"
 )
 
-// TestMain lets the test binary stand for both programs that a mesh starts.
+// TestMain lets the test binary act as both programs that a mesh starts: the worker and the node.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "worker" {
 		runWorker(os.Args[2:])
@@ -55,22 +55,22 @@
 	}
 }
 
-// Faults of the fake node, given in its environment.
+// Faults of the fake node, set by the environment variable fakeFault.
 const (
-	fakeFault       = "LAB_FAKE_NODE_FAULT"
-	faultGoesBack   = "goes-back"   // logs an older version after each newer one
-	faultIgnores    = "ignores"     // never serves by a newer version
-	faultRunsTwice  = "runs-twice"  // sends each request to two workers
-	faultSaysNotRun = "says-no-run" // says not-run after the worker ran the request
+	fakeFault           = "LAB_FAKE_NODE_FAULT"
+	faultOlderVersion   = "goes-back"   // logs an older version after each newer one
+	faultIgnoresUpdates = "ignores"     // keeps serving the first version
+	faultRunsTwice      = "runs-twice"  // sends each request to two workers
+	faultReportsNotRun  = "says-no-run" // reports not-run after the worker ran the request
 )
 
-// fakeNode reads the source by itself and forwards straight to workers.
+// fakeNode polls the source and forwards requests directly to workers.
 type fakeNode struct {
-	fault   string
-	source  string
-	workers map[string]string // address by worker name
-	current atomic.Pointer[declaration.Document]
-	turns   sync.Map // *atomic.Int64 by path: workers take turns
+	fault         string
+	source        string
+	workers       map[string]string // address by worker name
+	current       atomic.Pointer[declaration.Document]
+	requestCounts sync.Map // *atomic.Int64 by path: request count for round robin
 }
 
 func runFakeNode(path string) {
@@ -123,11 +123,11 @@
 			Document declaration.Document
 		}
 		check(json.NewDecoder(response.Body).Decode(&served))
-		if n.fault != faultIgnores || n.current.Load() == nil {
+		if n.fault != faultIgnoresUpdates || n.current.Load() == nil {
 			n.current.Store(&served.Document)
 		}
 		n.logVersion(served.Revision)
-		if n.fault == faultGoesBack && served.Revision > 1 {
+		if n.fault == faultOlderVersion && served.Revision > 1 {
 			n.logVersion(served.Revision - 1)
 		}
 	}
@@ -146,7 +146,7 @@
 	}
 	body, _ := io.ReadAll(request.Body)
 	send := func() *http.Response {
-		turn, _ := n.turns.LoadOrStore(request.URL.Path, new(atomic.Int64))
+		turn, _ := n.requestCounts.LoadOrStore(request.URL.Path, new(atomic.Int64))
 		name := workers[int(turn.(*atomic.Int64).Add(1))%len(workers)]
 		copied, _ := http.NewRequestWithContext(context.Background(), request.Method, "http://"+n.workers[name]+request.URL.Path, strings.NewReader(string(body)))
 		copied.Header = maps.Clone(request.Header)
@@ -160,7 +160,7 @@
 	}
 	response := send()
 	defer response.Body.Close()
-	if n.fault == faultSaysNotRun {
+	if n.fault == faultReportsNotRun {
 		writer.Header().Set(outcome.Header, string(outcome.NotRun))
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -170,8 +170,8 @@
 	_, _ = io.Copy(writer, response.Body)
 }
 
-// choose returns the workers that may answer and the credential. Of windows it
-// knows only those of this package: around noon or shifted.
+// choose returns the eligible workers and the credential for a request. It
+// evaluates only the first window of a selector, by time of day.
 func (n *fakeNode) choose(request *http.Request) ([]string, string) {
 	document := n.current.Load()
 	for _, route := range document.Routes {
--- a/lab/experiment/outcome.go
+++ b/lab/experiment/outcome.go
@@ -11,7 +11,7 @@
 	"sliphead/lab/worker"
 )
 
-// Verdict says whether an experiment's expectations held.
+// Verdict reports whether all expectations of an experiment were met.
 type Verdict string
 
 // The verdicts.
@@ -20,23 +20,23 @@
 	VerdictFail Verdict = "fail"
 )
 
-// Outcome is what an experiment came to.
+// Outcome is the result of an experiment.
 type Outcome struct {
-	Name       string
-	Violations []string
-	Samples    []Sample
-	Attempts   []load.Attempt
-	Phases     []PhaseFigures
-	Nodes      int
-	Bytes      int64         // control bytes sent and received by all nodes
-	Duration   time.Duration // over which the bytes were counted
-	Readers    int           // distinct readers at the source
-	Runs       int           // by all workers
-	RunsAsked  int           // that the attempts would have taken, each once at each level
-	Began      time.Time
+	Name         string
+	Violations   []string
+	Samples      []Sample
+	Attempts     []load.Attempt
+	Phases       []PhaseFigures
+	Nodes        int
+	Bytes        int64         // control bytes sent and received by all nodes
+	Duration     time.Duration // over which the bytes were counted
+	Readers      int           // distinct readers at the source
+	Runs         int           // of all workers
+	ExpectedRuns int           // expected runs: one for each attempt and level of its call tree
+	StartedAt    time.Time
 }
 
-// Verdict returns whether all expectations held.
+// Verdict returns VerdictFail if there are violations.
 func (o *Outcome) Verdict() Verdict {
 	if len(o.Violations) > 0 {
 		return VerdictFail
@@ -44,10 +44,10 @@
 	return VerdictPass
 }
 
-// controlBytes are the totals of one life of a node.
+// controlBytes is the number of control bytes sent and received by one incarnation of a node.
 type controlBytes struct{ total int64 }
 
-func (r *run) readControlBytes() map[string]controlBytes {
+func (r *run) readControlBytesByNode() map[string]controlBytes {
 	read := map[string]controlBytes{}
 	for _, node := range r.mesh.Nodes {
 		if !node.Running() {
@@ -60,12 +60,12 @@
 	return read
 }
 
-// bytesSince sums what all nodes sent and received since the load began. A
-// node that was started again counts from zero; what its life before carried
-// is lost with it.
-func (r *run) bytesSince() int64 {
+// controlBytesSinceStart returns the control bytes that all nodes sent and received since
+// the load started. A restarted node counts from zero; the bytes of its earlier
+// incarnation are not included.
+func (r *run) controlBytesSinceStart() int64 {
 	var sum int64
-	for name, now := range r.readControlBytes() {
+	for name, now := range r.readControlBytesByNode() {
 		before := r.startBytes[name].total
 		if before > now.total {
 			before = 0
@@ -75,17 +75,17 @@
 	return sum
 }
 
-// finish audits the run and evaluates it.
+// finish audits the run, checks the bounds and returns the outcome.
 func (r *run) finish() (*Outcome, error) {
 	result := &Outcome{
-		Name:     r.spec.Name,
-		Samples:  r.samples,
-		Attempts: r.generator.Result.Attempts(),
-		Nodes:    len(r.mesh.Nodes),
-		Bytes:    r.bytesSince(),
-		Duration: time.Since(r.began),
-		Readers:  len(r.mesh.Source.Counts().Readers),
-		Began:    r.began,
+		Name:      r.spec.Name,
+		Samples:   r.samples,
+		Attempts:  r.generator.Result.Attempts(),
+		Nodes:     len(r.mesh.Nodes),
+		Bytes:     r.controlBytesSinceStart(),
+		Duration:  time.Since(r.startedAt),
+		Readers:   len(r.mesh.Source.Counts().Readers),
+		StartedAt: r.startedAt,
 	}
 	var runs []worker.Run
 	for _, each := range r.mesh.Workers {
@@ -96,14 +96,14 @@
 		runs = append(runs, journal...)
 	}
 	result.Runs = len(runs)
-	result.RunsAsked = r.runsAsked(result.Attempts)
+	result.ExpectedRuns = r.expectedRuns(result.Attempts)
 	for _, violation := range load.Compare(result.Attempts, runs).Violations() {
-		r.violate("%s", violation)
+		r.addViolation("%s", violation)
 	}
 	for _, breach := range r.mesh.Record.Breaches() {
-		r.violate("%s", breach)
+		r.addViolation("%s", breach)
 	}
-	result.Phases = figuresOf(r.phases, result.Attempts)
+	result.Phases = computePhaseFigures(r.phases, result.Attempts)
 	for _, figures := range result.Phases {
 		r.logger.WithFields(figures.Fields()).Info("")
 	}
@@ -113,8 +113,8 @@
 	return result, nil
 }
 
-// runsAsked counts the runs that attempts take when none is repeated.
-func (r *run) runsAsked(attempts []load.Attempt) int {
+// expectedRuns returns the number of runs that the attempts require if no run is repeated.
+func (r *run) expectedRuns(attempts []load.Attempt) int {
 	levels := map[string]int{}
 	for _, class := range r.spec.Load {
 		levels[class.Name] = class.Levels()
@@ -126,36 +126,36 @@
 	return asked
 }
 
-// Amplification returns the runs made for each run asked for.
+// Amplification returns the ratio of actual to expected runs, 0 if none is expected.
 func (o *Outcome) Amplification() float64 {
-	if o.RunsAsked == 0 {
+	if o.ExpectedRuns == 0 {
 		return 0
 	}
-	return float64(o.Runs) / float64(o.RunsAsked)
+	return float64(o.Runs) / float64(o.ExpectedRuns)
 }
 
-// check compares the figures with the experiment's bounds.
+// check adds a violation for each figure that exceeds its bound.
 func (r *run) check(result *Outcome) {
 	bounds := r.spec.Checks
 	p99 := ConvergenceQuantile(result.Samples, 99)
 	if bounds.ConvergenceP99MS > 0 && inMilliseconds(p99) > bounds.ConvergenceP99MS {
-		r.violate("convergence p99 is %.1f ms, bound %.1f ms", inMilliseconds(p99), bounds.ConvergenceP99MS)
+		r.addViolation("convergence p99 is %.1f ms, bound %.1f ms", inMilliseconds(p99), bounds.ConvergenceP99MS)
 	}
 	if amplification := result.Amplification(); bounds.Amplification > 0 && amplification > bounds.Amplification {
-		r.violate("%d runs were made for %d asked for, %.3f times, bound %.3f", result.Runs, result.RunsAsked, amplification, bounds.Amplification)
+		r.addViolation("%d runs, expected %d: amplification %.3f, bound %.3f", result.Runs, result.ExpectedRuns, amplification, bounds.Amplification)
 	}
 	for class, share := range bounds.FailedShare {
 		if failed := failedShare(result.Attempts, class); failed > share {
-			r.violate("share of class %s not answered is %.4f, bound %.4f", class, failed, share)
+			r.addViolation("share of class %s not answered is %.4f, bound %.4f", class, failed, share)
 		}
 	}
 	for class, bound := range bounds.LatencyP99MS {
 		if latency := r.generator.Result.Quantile(class, 99); inMilliseconds(latency) > bound {
-			r.violate("latency p99 of class %s is %.1f ms, bound %.1f ms", class, inMilliseconds(latency), bound)
+			r.addViolation("latency p99 of class %s is %.1f ms, bound %.1f ms", class, inMilliseconds(latency), bound)
 		}
 	}
 	if len(r.spec.Load) > 0 && r.generator.Result.Count("", load.EndingAnswered) == 0 {
-		r.violate("no request was answered")
+		r.addViolation("no request was answered")
 	}
 }
 
@@ -180,7 +180,7 @@
 	return float64(duration) / float64(time.Millisecond)
 }
 
-// ConvergenceQuantile returns a percentile, 0 to 100, of the samples.
+// ConvergenceQuantile returns a percentile, 0 to 100, of the samples' convergence times. Times above 1 h count as 1 h.
 func ConvergenceQuantile(samples []Sample, percentile float64) time.Duration {
 	const highest = int64(time.Hour / time.Microsecond)
 	histogram := hdrhistogram.New(1, highest, 3)
@@ -190,7 +190,7 @@
 	return time.Duration(histogram.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// Merge joins outcomes of experiments that ran together under one name.
+// Merge combines the outcomes of experiments that ran concurrently into one with the given name.
 func Merge(name string, outcomes ...*Outcome) *Outcome {
 	merged := &Outcome{Name: name}
 	for _, each := range outcomes {
@@ -203,9 +203,9 @@
 		merged.Duration = max(merged.Duration, each.Duration)
 		merged.Readers += each.Readers
 		merged.Runs += each.Runs
-		merged.RunsAsked += each.RunsAsked
-		if merged.Began.IsZero() || each.Began.Before(merged.Began) {
-			merged.Began = each.Began
+		merged.ExpectedRuns += each.ExpectedRuns
+		if merged.StartedAt.IsZero() || each.StartedAt.Before(merged.StartedAt) {
+			merged.StartedAt = each.StartedAt
 		}
 	}
 	return merged
--- a/lab/experiment/phase.go
+++ b/lab/experiment/phase.go
@@ -12,15 +12,16 @@
 	"sliphead/lab/load"
 )
 
-// Phase is a measured part of a run.
+// Phase is a measured time range of a run.
 type Phase struct {
 	Name string    `json:"name"`
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
 }
 
-// PhaseFigures are the figures of one class, or of all, in a phase. Attempts
-// count by their intended start; latency is that of answered attempts.
+// PhaseFigures holds the measurements of one class, or of all classes, in a phase.
+// An attempt belongs to the phase of its intended start. The latency percentiles
+// include answered attempts only.
 type PhaseFigures struct {
 	Phase            string  `json:"phase"`
 	Class            string  `json:"class"` // "" for all classes
@@ -40,21 +41,21 @@
 
 func measure(ctx context.Context, r *run, step Step) error {
 	phase := Phase{Name: step.Name, From: time.Now()}
-	err := pass(ctx, step.For)
+	err := sleep(ctx, step.For)
 	phase.To = time.Now()
 	r.phases = append(r.phases, phase)
 	return err
 }
 
-// figuresOf computes the figures of all phases, by class and together.
-func figuresOf(phases []Phase, attempts []load.Attempt) []PhaseFigures {
+// computePhaseFigures computes the figures of each phase, first for all classes together and then by class.
+func computePhaseFigures(phases []Phase, attempts []load.Attempt) []PhaseFigures {
 	var all []PhaseFigures
 	for _, phase := range phases {
 		within := slices.DeleteFunc(slices.Clone(attempts), func(attempt load.Attempt) bool {
 			return attempt.Start.Before(phase.From) || !attempt.Start.Before(phase.To)
 		})
 		all = append(all, phase.figures("", within))
-		for _, class := range classesOf(within) {
+		for _, class := range classNames(within) {
 			ofClass := slices.DeleteFunc(slices.Clone(within), func(attempt load.Attempt) bool { return attempt.Class != class })
 			all = append(all, phase.figures(class, ofClass))
 		}
@@ -62,7 +63,7 @@
 	return all
 }
 
-func classesOf(attempts []load.Attempt) []string {
+func classNames(attempts []load.Attempt) []string {
 	var classes []string
 	for _, attempt := range attempts {
 		if !slices.Contains(classes, attempt.Class) {
@@ -109,12 +110,12 @@
 	}
 }
 
-// checkPhases compares the phases with their bounds.
+// checkPhases adds a violation for each phase whose goodput is below its bound.
 func (r *run) checkPhases(figures []PhaseFigures) {
 	find := func(phase, class string) PhaseFigures {
 		index := slices.IndexFunc(figures, func(each PhaseFigures) bool { return each.Phase == phase && each.Class == class })
 		if index < 0 {
-			r.violate("phase %s has no attempts of class %q", phase, class)
+			r.addViolation("phase %s has no attempts of class %q", phase, class)
 			return PhaseFigures{}
 		}
 		return figures[index]
@@ -126,7 +127,7 @@
 			base, of = find(bound.Of, bound.Class).GoodputPerSecond, "the goodput of phase "+bound.Of
 		}
 		if reached.GoodputPerSecond < bound.Share*base {
-			r.violate("goodput of class %q in phase %s is %.0f per second, below %.2f of %s, %.0f", bound.Class, bound.Phase, reached.GoodputPerSecond, bound.Share, of, base)
+			r.addViolation("goodput of class %q in phase %s is %.0f per second, below %.2f of %s, %.0f", bound.Class, bound.Phase, reached.GoodputPerSecond, bound.Share, of, base)
 		}
 	}
 }
--- a/lab/experiment/phase_test.go
+++ b/lab/experiment/phase_test.go
@@ -13,7 +13,7 @@
 	"sliphead/lab/load"
 )
 
-func TestPhasesCountByIntendedStartAndAreChecked(t *testing.T) {
+func TestPhaseFiguresUseIntendedStartAndAreChecked(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	phases := []Phase{
 		{Name: "1x", From: begin, To: begin.Add(10 * time.Second)},
@@ -32,7 +32,7 @@
 		}
 		attempts = append(attempts, attempt)
 	}
-	figures := figuresOf(phases, attempts)
+	figures := computePhaseFigures(phases, attempts)
 	must.SliceLen(t, 4, figures)
 	must.Eq(t, PhaseFigures{Phase: "1x", Class: "c", OfferedPerSecond: 10, GoodputPerSecond: 10, P50MS: 2, P99MS: 2}, figures[1])
 	must.Eq(t, 5, figures[3].GoodputPerSecond)
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -12,33 +12,33 @@
 	"sliphead/lab/mesh"
 )
 
-// Options say how to run an experiment.
+// Options configures the run of an experiment.
 type Options struct {
 	Mesh   mesh.Options
 	Logger log.Interface
 }
 
-// startBound is the longest that a mesh may take until all nodes are ready.
-const startBound = 30 * time.Second
+// startTimeout bounds the time until all nodes of a mesh are ready.
+const startTimeout = 30 * time.Second
 
-// run is an experiment under way.
+// run is the state of a running experiment.
 type run struct {
-	spec       *Spec
-	mesh       *mesh.Mesh
-	logger     log.Interface
-	document   *declaration.Document
-	revision   uint64 // newest published
-	published  time.Time
-	generator  *load.Generator
-	selected   []*mesh.Node // by the step before
-	samples    []Sample
-	violations []string
-	phases     []Phase
-	began      time.Time
-	startBytes map[string]controlBytes
+	spec         *Spec
+	mesh         *mesh.Mesh
+	logger       log.Interface
+	document     *declaration.Document
+	revision     uint64 // newest published
+	publishedAt  time.Time
+	generator    *load.Generator
+	lastSelected []*mesh.Node // by the latest selection
+	samples      []Sample
+	violations   []string
+	phases       []Phase
+	startedAt    time.Time
+	startBytes   map[string]controlBytes
 }
 
-// Sample is the time that a change took to come into force on a node.
+// Sample is the time from the publication of a revision until it was in force on a node.
 type Sample struct {
 	Mesh        string        `json:"mesh"`
 	Node        string        `json:"node"`
@@ -46,7 +46,7 @@
 	Convergence time.Duration `json:"convergenceNs"`
 }
 
-// Run runs an experiment on a plan. It ends everything that it started, also
+// Run runs an experiment on a plan. It stops everything that it started, also
 // on an error.
 func Run(ctx context.Context, spec *Spec, plan *mesh.Plan, options Options) (*Outcome, error) {
 	options.Mesh.WithoutLinks = spec.WithoutLinks
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	current.startLoad()
-	stepError := current.steps(ctx)
+	stepError := current.runSteps(ctx)
 	current.generator.Stop()
 	if stepError != nil {
 		return nil, stepError
@@ -69,7 +69,7 @@
 }
 
 func (r *run) waitStart(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startBound)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	begin := time.Now()
 	if err := r.mesh.WaitReady(ctx); err != nil {
@@ -77,7 +77,7 @@
 	}
 	r.revision = r.mesh.Source.Revision()
 	if behind := r.mesh.Record.WaitInForce(ctx, r.mesh.NodeNames(), r.document.Epoch, r.revision); len(behind) > 0 {
-		return fault.New(fault.Unready, "read these nodes' logs in the lab's directory", "nodes %v never logged the first version as active", behind)
+		return fault.New(fault.Unready, "read these nodes' logs in the lab's directory", "nodes %v did not log the first version as active in time", behind)
 	}
 	r.logger.WithFields(log.Fields{"event": "mesh.ready", "nodes": len(r.mesh.Nodes), "after_ms": time.Since(begin).Milliseconds()}).Info("")
 	return nil
@@ -91,13 +91,13 @@
 	r.generator = load.NewGenerator(load.NewCaller(r.mesh.ClientAddress()), targets, r.spec.Name)
 	r.generator.Direct = r.directTargets()
 	r.mesh.Source.ResetCounts()
-	r.began = time.Now()
-	r.startBytes = r.readControlBytes()
+	r.startedAt = time.Now()
+	r.startBytes = r.readControlBytesByNode()
 	r.generator.Start(r.spec.Load)
 }
 
-// directTargets returns the workers by service, for classes that call them
-// without any node.
+// directTargets returns the workers by service, for classes that call workers
+// directly instead of through nodes.
 func (r *run) directTargets() map[string][]load.Target {
 	targets := map[string][]load.Target{}
 	for _, worker := range r.mesh.Workers {
@@ -108,12 +108,12 @@
 	return targets
 }
 
-// steps carries out all steps. A step that does not hold is a violation; only
-// a step that cannot be carried out is an error.
-func (r *run) steps(ctx context.Context) error {
+// runSteps executes all steps. An unmet expectation is recorded as a violation; an
+// error is returned only for a step that cannot be executed.
+func (r *run) runSteps(ctx context.Context) error {
 	for index, step := range r.spec.Steps {
 		if ctx.Err() != nil {
-			return fault.Wrap(ctx.Err(), fault.Deadline, "run it again and let it end", "experiment %s was interrupted", r.spec.Name)
+			return fault.Wrap(ctx.Err(), fault.Deadline, "run it again without interrupting it", "experiment %s was interrupted", r.spec.Name)
 		}
 		begin := time.Now()
 		violations := len(r.violations)
--- a/lab/experiment/selection.go
+++ b/lab/experiment/selection.go
@@ -7,7 +7,7 @@
 	"sliphead/lab/mesh"
 )
 
-// The kinds by which nodes are selected.
+// The values of Selection.Kind.
 const (
 	kindEdge    = "edge"
 	kindWorker  = "worker"
@@ -16,29 +16,29 @@
 	kindEnded   = "ended"
 )
 
-// selectNodes returns the nodes that a selection names and remembers them.
+// selectNodes returns the selected nodes and stores them for selections with Last set.
 func (r *run) selectNodes(selection Selection) ([]*mesh.Node, error) {
 	if selection.Last {
-		return r.selected, nil
+		return r.lastSelected, nil
 	}
 	var nodes []*mesh.Node
 	for _, node := range r.mesh.Nodes {
-		if selection.holds(node) {
+		if selection.matches(node) {
 			nodes = append(nodes, node)
 		}
 	}
 	if selection.Share > 0 {
-		nodes = everySecondFirst(nodes)
+		nodes = evenIndexesFirst(nodes)
 		nodes = nodes[:int(float64(len(nodes))*selection.Share)]
 	}
 	if len(nodes) == 0 {
 		return nil, fault.New(fault.Settings, "correct the selection", "no node is selected by %+v", selection)
 	}
-	r.selected = nodes
+	r.lastSelected = nodes
 	return nodes, nil
 }
 
-func (s Selection) holds(node *mesh.Node) bool {
+func (s Selection) matches(node *mesh.Node) bool {
 	switch {
 	case len(s.Names) > 0 && !slices.Contains(s.Names, node.Name):
 		return false
@@ -67,8 +67,8 @@
 	return false
 }
 
-// everySecondFirst reorders nodes so that a share of them is spread over zones.
-func everySecondFirst(nodes []*mesh.Node) []*mesh.Node {
+// evenIndexesFirst moves nodes with an even index to the front, so that the first share of the nodes is spread over the zones.
+func evenIndexesFirst(nodes []*mesh.Node) []*mesh.Node {
 	ordered := make([]*mesh.Node, 0, len(nodes))
 	for index := 0; index < len(nodes); index += 2 {
 		ordered = append(ordered, nodes[index])
@@ -79,7 +79,7 @@
 	return ordered
 }
 
-func namesOf(nodes []*mesh.Node) []string {
+func nodeNames(nodes []*mesh.Node) []string {
 	names := make([]string, 0, len(nodes))
 	for _, node := range nodes {
 		names = append(names, node.Name)
