--- a/lab/experiment/outcome.go
+++ b/lab/experiment/outcome.go
@@ -100,7 +100,7 @@
 	for _, violation := range load.Compare(result.Attempts, runs).Violations() {
 		r.addViolation("%s", violation)
 	}
-	for _, breach := range r.mesh.Record.Breaches() {
+	for _, breach := range r.mesh.Record.OrderViolations() {
 		r.addViolation("%s", breach)
 	}
 	result.Phases = computePhaseFigures(r.phases, result.Attempts)
--- a/lab/mesh/layout.go
+++ b/lab/mesh/layout.go
@@ -8,7 +8,7 @@
 	"sliphead/internal/declaration"
 )
 
-// The ports of a node and its worker, the same on every address.
+// The ports of nodes, workers and the platform's stand-ins, the same on every address.
 const (
 	portPeer     = 7000
 	portInbound  = 7001
@@ -20,23 +20,23 @@
 )
 
 const (
-	advertisedOffset = 100 // added to the second octet of the address that a node advertises
+	advertisedOffset = 100 // added to the second octet of a real address to get the advertised one
 	clientsOctet     = 200 // third octet of the callers' addresses
 	clientsZone      = "clients"
 	platformZone     = "platform"
-	platformHost     = 254 // last octet of the platform's stand-ins, in the third octet 0
+	platformHost     = 254 // last octet of the platform's stand-ins, whose third octet is 0
 )
 
-// layout assigns loopback addresses: 127.octet.zone.node.
+// layout assigns loopback addresses of the form 127.octet.zone.node.
 type layout struct {
-	octet int
-	zones []string // the third octet is the index, from 1
-	plain bool     // no links: nodes advertise their real addresses
+	octet        int
+	zones        []string // the third octet is the index, from 1
+	withoutLinks bool     // nodes advertise their real addresses
 }
 
-// advertised is added to the second octet of an address that is advertised.
-func (l layout) advertised() int {
-	if l.plain {
+// advertisedShift returns the number to add to the second octet of an advertised address, 0 without links.
+func (l layout) advertisedShift() int {
+	if l.withoutLinks {
 		return 0
 	}
 	return advertisedOffset
@@ -46,20 +46,20 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", l.octet+offset, zone, host, port)
 }
 
-// platform returns the address of a stand-in of the platform.
+// platform returns the real address of a stand-in of the platform.
 func (l layout) platform(port int) string { return l.address(0, 0, platformHost, port) }
 
-// platformAt returns the address at which nodes reach it through a link.
-func (l layout) platformAt(port int) string {
-	return l.address(l.advertised(), 0, platformHost, port)
+// advertisedPlatform returns the address at which nodes reach a stand-in of the platform through a link.
+func (l layout) advertisedPlatform(port int) string {
+	return l.address(l.advertisedShift(), 0, platformHost, port)
 }
 
-// clientAddress is where callers dial from.
+// clientAddress returns the source address of callers.
 func (l layout) clientAddress() netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(l.octet), clientsOctet, 1})
 }
 
-// zoneOf returns the zone of a sender's address.
+// zoneOf returns the zone of a sender's address, "" if it has none.
 func (l layout) zoneOf(address netip.Addr) string {
 	octets := address.Unmap().As4()
 	if octets[2] == clientsOctet {
@@ -72,31 +72,31 @@
 	return l.zones[index]
 }
 
-// PlannedNode is a node with its addresses and, unless it is an edge, its
+// PlannedNode is a node with its addresses and, unless it is an edge node, its
 // worker.
 type PlannedNode struct {
-	Name      string
-	Zone      string
-	Region    string
-	Service   string
-	Worker    *PlannedWorker // nil at an edge
-	Peer      string         // real addresses
-	Inbound   string
-	Outbound  string
-	Admin     string
-	PeerAt    string // advertised addresses, where a link listens
-	InboundAt string
-	Public    string // where callers reach an edge through a link
+	Name              string
+	Zone              string
+	Region            string
+	Service           string
+	Worker            *PlannedWorker // nil at an edge
+	Peer              string         // real addresses
+	Inbound           string
+	Outbound          string
+	Admin             string
+	AdvertisedPeer    string // advertised addresses, at which a link listens
+	AdvertisedInbound string
+	Public            string // address at which callers reach an edge node through a link, "" for other nodes
 }
 
-// PlannedWorker is a worker with its costs.
+// PlannedWorker is a declared worker with its address and the settings of its service.
 type PlannedWorker struct {
 	declaration.Worker
 	Address string
 	Service Service
 }
 
-// workers returns the declared workers, spread over the zones in turn.
+// workers returns the declared workers, assigned to the zones in round robin.
 func (p *Plan) workers() []PlannedWorker {
 	var workers []PlannedWorker
 	next := 0
@@ -119,7 +119,7 @@
 	return workers
 }
 
-// nodes lays out all nodes of the plan, edges first.
+// nodes assigns addresses to all nodes of the plan and returns them, edge nodes first.
 func (p *Plan) nodes(addresses layout, edges int) []*PlannedNode {
 	used := map[string]int{} // nodes by zone
 	var nodes []*PlannedNode
@@ -132,7 +132,7 @@
 	for index := range p.edgeCount(edges) {
 		zone := p.Zones[index%len(p.Zones)].Name
 		edge := place(fmt.Sprintf("%s-edge-%d", zone, index/len(p.Zones)+1), zone)
-		edge.Inbound, edge.InboundAt = "", ""
+		edge.Inbound, edge.AdvertisedInbound = "", ""
 	}
 	for _, worker := range p.workers() {
 		node := place(worker.Zone+"-"+worker.Name, worker.Zone)
@@ -159,16 +159,16 @@
 	}
 	at := func(offset, port int) string { return addresses.address(offset, index+1, host, port) }
 	return &PlannedNode{
-		Name:      name,
-		Zone:      zone,
-		Region:    p.regionOf(index),
-		Peer:      at(0, portPeer),
-		Inbound:   at(0, portInbound),
-		Outbound:  at(0, portOutbound),
-		Admin:     at(0, portAdmin),
-		PeerAt:    at(addresses.advertised(), portPeer),
-		InboundAt: at(addresses.advertised(), portInbound),
-		Public:    at(addresses.advertised(), portOutbound),
+		Name:              name,
+		Zone:              zone,
+		Region:            p.regionOf(index),
+		Peer:              at(0, portPeer),
+		Inbound:           at(0, portInbound),
+		Outbound:          at(0, portOutbound),
+		Admin:             at(0, portAdmin),
+		AdvertisedPeer:    at(addresses.advertisedShift(), portPeer),
+		AdvertisedInbound: at(addresses.advertisedShift(), portInbound),
+		Public:            at(addresses.advertisedShift(), portOutbound),
 	}
 }
 
--- a/lab/mesh/mesh.go
+++ b/lab/mesh/mesh.go
@@ -19,17 +19,17 @@
 	"sliphead/lab/source"
 )
 
-// Options say how to start a mesh.
+// Options configures a mesh.
 type Options struct {
 	NodeBinary string // program with the node command
 	LabBinary  string // this program, for the workers
 	Directory  string // for settings files and logs; created if missing
-	Octet      int    // second octet of the loopback addresses, 1 to 127; 0 takes a free one
+	Octet      int    // second octet of the loopback addresses, 1 to 127; 0 selects a free one
 	Scale      Scale
-	// WithoutLinks lets nodes reach each other by loopback alone: no delays,
-	// loss or cuts.
+	// WithoutLinks connects nodes directly over loopback, without delays, loss or
+	// cuts.
 	WithoutLinks bool
-	Seed         uint64 // decides which datagrams are lost
+	Seed         uint64 // of the random choice of lost datagrams
 }
 
 // Mesh is a running mesh.
@@ -42,16 +42,16 @@
 	Nodes    []*Node
 	Workers  []*Worker
 
-	options  Options
-	layout   layout
-	launcher *process.Launcher
-	servers  []*http.Server
-	reserved net.Listener
-	closing  sync.Once
+	options          Options
+	layout           layout
+	launcher         *process.Launcher
+	servers          []*http.Server
+	octetReservation net.Listener
+	closeOnce        sync.Once
 }
 
 // Start starts the stand-ins, links, workers and nodes of a plan. On an error
-// it ends whatever it had started.
+// it stops everything that it has started.
 func Start(plan *Plan, options Options) (*Mesh, error) {
 	plan = plan.Scaled(options.Scale)
 	octet, reserved, err := reserveOctet(options.Octet)
@@ -59,14 +59,14 @@
 		return nil, err
 	}
 	started := &Mesh{
-		Plan:     plan,
-		Source:   source.New(),
-		Machines: machines.New(time.Duration(plan.MachineListLagMS)*time.Millisecond, time.Now),
-		Record:   newRecord(),
-		options:  options,
-		layout:   layout{octet: octet, zones: zoneNames(plan), plain: options.WithoutLinks},
-		reserved: reserved,
-		launcher: process.NewLauncher(),
+		Plan:             plan,
+		Source:           source.New(),
+		Machines:         machines.New(time.Duration(plan.MachineListLagMS)*time.Millisecond, time.Now),
+		Record:           newRecord(),
+		options:          options,
+		layout:           layout{octet: octet, zones: zoneNames(plan), withoutLinks: options.WithoutLinks},
+		octetReservation: reserved,
+		launcher:         process.NewLauncher(),
 	}
 	if err := started.startAll(); err != nil {
 		started.Close()
@@ -123,7 +123,7 @@
 		Zone:    node.Zone,
 		Region:  node.Region,
 		Service: node.Service,
-		Peer:    node.PeerAt,
+		Peer:    node.AdvertisedPeer,
 		State:   state,
 	}
 }
@@ -131,7 +131,7 @@
 func (m *Mesh) serve(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fault.Wrap(err, fault.Settings, "end the other lab that uses this address, or give another --octet", "listen on %s", address)
+		return fault.Wrap(err, fault.Settings, "stop the other lab that uses this address, or give another --octet", "listen on %s", address)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
 	m.servers = append(m.servers, server)
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// startLinks listens at every advertised address.
+// startLinks opens a link at every advertised address.
 func (m *Mesh) startLinks(planned []*PlannedNode) error {
 	standard := link.Conditions{Delay: milliseconds(m.Plan.DelayBetweenZonesMS)}
 	m.Links = link.New(m.layout.zoneOf, standard, m.options.Seed)
@@ -153,7 +153,7 @@
 		m.Links.Set(link.Pair{From: clientsZone, To: zone}, toClients)
 	}
 	for _, port := range []int{portSource, portMachines} {
-		if err := m.Links.Streams(m.layout.platformAt(port), m.layout.platform(port), platformZone); err != nil {
+		if err := m.Links.Streams(m.layout.advertisedPlatform(port), m.layout.platform(port), platformZone); err != nil {
 			return err
 		}
 	}
@@ -166,10 +166,10 @@
 }
 
 func (m *Mesh) linkNode(node *PlannedNode) error {
-	if err := m.Links.Datagrams(node.PeerAt, node.Peer, node.Zone); err != nil {
+	if err := m.Links.Datagrams(node.AdvertisedPeer, node.Peer, node.Zone); err != nil {
 		return err
 	}
-	streams := [][2]string{{node.PeerAt, node.Peer}, {node.InboundAt, node.Inbound}, {node.Public, node.Outbound}}
+	streams := [][2]string{{node.AdvertisedPeer, node.Peer}, {node.AdvertisedInbound, node.Inbound}, {node.Public, node.Outbound}}
 	for _, each := range streams {
 		if each[0] == "" {
 			continue
@@ -196,7 +196,7 @@
 }
 
 func (m *Mesh) startNodes(planned []*PlannedNode) error {
-	since := time.Now().Add(startTime)
+	since := time.Now().Add(maxStartTime)
 	for _, each := range planned {
 		node := &Node{PlannedNode: each, mesh: m}
 		path, err := writeSettings(m.options.Directory, m.Plan.Profile, m.layout, since, each)
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// WaitReady waits until every node says that it is ready.
+// WaitReady waits until every node reports that it is ready.
 func (m *Mesh) WaitReady(ctx context.Context) error {
 	group, groupContext := errgroup.WithContext(ctx)
 	for _, node := range m.Nodes {
@@ -251,8 +251,8 @@
 	return edges
 }
 
-// CutZone cuts a zone off from all other zones and, if so asked, from the
-// platform, or heals it. Callers still reach the zone.
+// CutZone blocks (cut) or restores (not cut) the links of a zone to all other
+// zones and, with platformToo, to the platform. Callers still reach the zone.
 func (m *Mesh) CutZone(zone string, platformToo, cut bool) {
 	for _, other := range m.layout.zones {
 		if other != zone {
@@ -264,13 +264,13 @@
 	}
 }
 
-// ClientAddress is the address from which callers dial, so that links know
-// them as callers.
+// ClientAddress returns the source address that callers must dial from, by which
+// links identify them.
 func (m *Mesh) ClientAddress() netip.Addr { return m.layout.clientAddress() }
 
-// Close ends everything that the mesh started.
+// Close stops everything that the mesh started. Calls after the first do nothing.
 func (m *Mesh) Close() {
-	m.closing.Do(func() {
+	m.closeOnce.Do(func() {
 		for _, node := range m.Nodes {
 			node.Kill()
 		}
@@ -284,7 +284,7 @@
 			_ = server.Close()
 		}
 		m.launcher.Close()
-		_ = m.reserved.Close()
+		_ = m.octetReservation.Close()
 	})
 }
 
--- a/lab/mesh/mesh_test.go
+++ b/lab/mesh/mesh_test.go
@@ -17,7 +17,7 @@
 	return plan
 }
 
-func TestPlanHasTheUsersSizes(t *testing.T) {
+func TestPlanOfChandrikaHasItsNumberOfZonesAndWorkers(t *testing.T) {
 	plan := readPlan(t)
 	document := plan.Document()
 	must.SliceLen(t, 4, document.Zones)
@@ -25,7 +25,7 @@
 	must.SliceLen(t, 6, plan.Scaled(Scale{WorkersPerService: 3}).Document().Workers)
 }
 
-func TestLayoutGivesEachNodeItsOwnAddressInItsZone(t *testing.T) {
+func TestLayoutAssignsEachNodeAUniqueAddressInItsZone(t *testing.T) {
 	plan := readPlan(t)
 	addresses := layout{octet: 10, zones: zoneNames(plan)}
 	nodes := plan.nodes(addresses, 0)
@@ -40,25 +40,25 @@
 			must.Eq(t, "", node.Public)
 			continue
 		}
-		must.Eq(t, "", node.InboundAt)
+		must.Eq(t, "", node.AdvertisedInbound)
 	}
 	must.Eq(t, clientsZone, addresses.zoneOf(addresses.clientAddress()))
 }
 
-func TestRecordNotesNodesThatGoBack(t *testing.T) {
+func TestRecordReportsNodesThatReturnToAnOlderVersion(t *testing.T) {
 	record := newRecord()
-	life := record.started("a")
-	record.line("a", life, "event=version.activated version=1.2-aa at_unix_ms=5")
-	record.line("a", life, "event=version.activated version=1.3-bb at_unix_ms=6")
-	must.SliceEmpty(t, record.Breaches())
-	record.line("a", life, "event=version.activated version=1.2-aa at_unix_ms=7")
-	must.SliceLen(t, 1, record.Breaches())
+	incarnation := record.started("a")
+	record.addLine("a", incarnation, "event=version.activated version=1.2-aa at_unix_ms=5")
+	record.addLine("a", incarnation, "event=version.activated version=1.3-bb at_unix_ms=6")
+	must.SliceEmpty(t, record.OrderViolations())
+	record.addLine("a", incarnation, "event=version.activated version=1.2-aa at_unix_ms=7")
+	must.SliceLen(t, 1, record.OrderViolations())
 
-	life = record.started("a")
-	record.line("a", life, "event=version.activated version=1.2-aa at_unix_ms=8")
-	record.line("a", life, "event=node.ready")
-	must.SliceLen(t, 2, record.Breaches())
-	record.line("a", life, "event=version.activated version=1.3-bb at_unix_ms=9")
+	incarnation = record.started("a")
+	record.addLine("a", incarnation, "event=version.activated version=1.2-aa at_unix_ms=8")
+	record.addLine("a", incarnation, "event=node.ready")
+	must.SliceLen(t, 2, record.OrderViolations())
+	record.addLine("a", incarnation, "event=version.activated version=1.3-bb at_unix_ms=9")
 	must.SliceEmpty(t, record.WaitInForce(context.Background(), []string{"a"}, 1, 3))
 	must.Eq(t, []string{"b"}, record.Behind([]string{"a", "b"}, 1, 3))
 	activation, found := record.FirstInForce("a", 1, 3)
@@ -66,7 +66,7 @@
 	must.Eq(t, version.Version{Epoch: 1, Revision: 3, Digest: "bb"}, activation.Version)
 }
 
-func TestReservedOctetsDiffer(t *testing.T) {
+func TestReserveOctetReturnsEachOctetOnce(t *testing.T) {
 	first, held, err := reserveOctet(0)
 	must.NoError(t, err)
 	defer held.Close()
--- a/lab/mesh/node.go
+++ b/lab/mesh/node.go
@@ -14,7 +14,7 @@
 	"sliphead/lab/process"
 )
 
-// Node is a node's process, which may be ended and started again.
+// Node is a node with its process, which can be stopped and restarted. Its methods may be called concurrently.
 type Node struct {
 	*PlannedNode
 	mesh     *Mesh
@@ -24,7 +24,7 @@
 	log      *os.File
 }
 
-// Status is what the lab reads of a node's status.
+// Status holds the fields of a node's status that the lab uses.
 type Status struct {
 	Name    string `json:"name"`
 	Version struct {
@@ -40,7 +40,7 @@
 	ControlBytesReceived int64 `json:"controlBytesReceived"`
 }
 
-// Start starts the node's process.
+// Start starts the node's process as a new incarnation.
 func (n *Node) Start() error {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -51,8 +51,8 @@
 		}
 		n.log = log
 	}
-	life := n.mesh.Record.started(n.Name)
-	onLine := func(text string) { n.mesh.Record.line(n.Name, life, text) }
+	incarnation := n.mesh.Record.started(n.Name)
+	onLine := func(text string) { n.mesh.Record.addLine(n.Name, incarnation, text) }
 	running, err := n.mesh.launcher.Start(n.Name, n.log, onLine, nil, n.mesh.options.NodeBinary, "node", "--settings", n.settings)
 	if err != nil {
 		return err
@@ -67,17 +67,17 @@
 	return n.running
 }
 
-// Kill ends the process at once (SIGKILL), and returns when it has gone.
+// Kill kills the process (SIGKILL) and returns once it has exited.
 func (n *Node) Kill() {
 	if running := n.process(); running != nil {
 		running.Kill()
 	}
 }
 
-// Freeze stops the process's execution (SIGSTOP).
+// Freeze suspends the process (SIGSTOP).
 func (n *Node) Freeze() { n.signal(syscall.SIGSTOP) }
 
-// Thaw resumes a frozen process (SIGCONT).
+// Thaw resumes a suspended process (SIGCONT).
 func (n *Node) Thaw() { n.signal(syscall.SIGCONT) }
 
 func (n *Node) signal(kind syscall.Signal) {
@@ -86,20 +86,20 @@
 	}
 }
 
-// Drain asks for a planned stop (SIGTERM), as the platform does: the machine
-// list says that the node leaves.
+// Drain requests a planned shutdown as the platform does: it marks the node as
+// leaving in the machine list and sends SIGTERM.
 func (n *Node) Drain() {
 	n.mesh.Machines.Set(machineOf(n.PlannedNode, machines.StateLeaving))
 	n.signal(syscall.SIGTERM)
 }
 
-// WaitExit waits for the process's end and returns its exit code, and false
-// when it still runs after the bound.
+// WaitExit waits until the process has exited and returns its exit code, or
+// false if it still runs when the bound has passed.
 func (n *Node) WaitExit(bound time.Duration) (int, bool) {
 	return n.process().WaitFor(bound)
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process was started and has not exited.
 func (n *Node) Running() bool {
 	running := n.process()
 	if running == nil {
@@ -113,13 +113,13 @@
 	}
 }
 
-// adminClient asks nodes and workers; no answer may take long.
+// adminClient sends requests to the admin addresses of nodes and to workers.
 var adminClient = &http.Client{Timeout: 2 * time.Second}
 
-// pollInterval is the time between two questions while waiting.
+// pollInterval is the time between two requests or dials while waiting.
 const pollInterval = 50 * time.Millisecond
 
-// WaitReady waits until the node says that it is ready.
+// WaitReady waits until the node reports that it is ready.
 func (n *Node) WaitReady(ctx context.Context) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -130,14 +130,14 @@
 		select {
 		case <-ticker.C:
 		case <-n.process().Ended():
-			return fault.New(fault.Unready, "read its log in the lab's directory", "node %s ended before it was ready", n.Name)
+			return fault.New(fault.Unready, "read its log in the lab's directory", "node %s exited before it was ready", n.Name)
 		case <-ctx.Done():
 			return fault.New(fault.Unready, "read its log in the lab's directory", "node %s did not become ready in time", n.Name)
 		}
 	}
 }
 
-// Ready asks the node whether it is ready.
+// Ready requests the node's readiness. Any failure counts as not ready.
 func (n *Node) Ready(ctx context.Context) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Admin+"/ready", nil)
 	if err != nil {
@@ -151,7 +151,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Status asks the node for its status.
+// Status requests the node's status.
 func (n *Node) Status() (Status, error) {
 	var status Status
 	err := getJSON("http://"+n.Admin+"/status", &status)
@@ -162,9 +162,9 @@
 	const remedy = "read the log of the process in the lab's directory"
 	response, err := adminClient.Get(url)
 	if err != nil {
-		return fault.Wrap(err, fault.Unready, remedy, "ask %s", url)
+		return fault.Wrap(err, fault.Unready, remedy, "send a request to %s", url)
 	}
 	defer response.Body.Close()
 	err = json.NewDecoder(response.Body).Decode(target)
-	return fault.Wrap(err, fault.Unready, remedy, "read the answer of %s", url)
+	return fault.Wrap(err, fault.Unready, remedy, "read the response of %s", url)
 }
--- a/lab/mesh/plan.go
+++ b/lab/mesh/plan.go
@@ -1,6 +1,6 @@
-// Package mesh starts a whole mesh on one machine: stand-ins for the platform,
-// workers and nodes as real processes, and links between zones. It ends
-// everything that it started.
+// Package mesh starts a complete mesh on one machine: stand-ins for the platform,
+// workers and nodes as real processes, and links between zones. Closing a mesh
+// stops everything that it started.
 package mesh
 
 import (
@@ -15,7 +15,7 @@
 	"sliphead/lab/echo"
 )
 
-// Plan describes a mesh, as a file in experiments/ holds it.
+// Plan describes a mesh. It is the content of a plan file in experiments/.
 type Plan struct {
 	Name                string                 `yaml:"name" validate:"required"`
 	Region              string                 `yaml:"region" validate:"required"`
@@ -41,18 +41,18 @@
 	ProbeCostMS      float64              `yaml:"probeCostMs" validate:"min=0"`
 	RunTimeMS        float64              `yaml:"runTimeMs" validate:"min=0"`
 	HealthLagMS      float64              `yaml:"healthLagMs" validate:"min=0"`
-	Secret           string               `yaml:"secret"` // the credential that its workers ask for, by name
-	Labels           []declaration.Labels `yaml:"labels"` // of the workers, in turn
+	Secret           string               `yaml:"secret"` // name of the credential that its workers require
+	Labels           []declaration.Labels `yaml:"labels"` // of the workers, in round robin
 }
 
-// Scale bounds a plan's size. Zero leaves a size as it is.
+// Scale limits a plan's size. Zero means no limit.
 type Scale struct {
 	WorkersPerService int `yaml:"workersPerService"`
 	Zones             int `yaml:"zones"`
-	Edges             int `yaml:"edges"` // in all
+	Edges             int `yaml:"edges"` // in all zones together
 }
 
-// ReadPlan reads a plan from a YAML file. Unknown keys are refused.
+// ReadPlan reads and validates a plan from a YAML file. Unknown keys are an error.
 func ReadPlan(path string) (*Plan, error) {
 	plan := &Plan{}
 	if err := ReadYAML(path, plan); err != nil {
@@ -64,9 +64,9 @@
 	return plan, nil
 }
 
-// ReadYAML reads a YAML file strictly into target.
+// ReadYAML decodes a YAML file into target. Unknown keys are an error.
 func ReadYAML(path string, target any) error {
-	const remedy = "correct the file; see experiments/ for whole ones"
+	const remedy = "correct the file; see experiments/ for complete examples"
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return fault.Wrap(err, fault.Settings, remedy, "read %s", path)
@@ -75,7 +75,7 @@
 	return fault.Wrap(err, fault.Settings, remedy, "parse %s", path)
 }
 
-// Scaled returns a copy of the plan, no larger than the scale.
+// Scaled returns a copy of the plan with its zones and workers limited to the scale.
 func (p Plan) Scaled(scale Scale) *Plan {
 	if scale.Zones > 0 && scale.Zones < len(p.Zones) {
 		p.Zones = p.Zones[:scale.Zones]
--- a/lab/mesh/record.go
+++ b/lab/mesh/record.go
@@ -12,44 +12,45 @@
 	"sliphead/lab/event"
 )
 
-// The events of a node's log that the record reads.
+// The log events of a node that the record evaluates.
 const (
 	eventActivated = "version.activated"
 	eventReady     = "node.ready"
 )
 
-// Activation is a version that came into force on a node.
+// Activation is the event that a version came into force on a node.
 type Activation struct {
-	Node    string
-	Life    int // counts the starts of the node's process, from 1
-	Version version.Version
-	At      time.Time
+	Node        string
+	Incarnation int // number of the start of the node's process, from 1
+	Version     version.Version
+	At          time.Time
 }
 
-// nodeRecord is what the log of one node said.
+// nodeRecord is the state of one node according to its log.
 type nodeRecord struct {
-	life    int
-	active  version.Version // in this life
-	highest version.Version // in all lives
-	ready   bool            // in this life
+	incarnation int
+	active      version.Version // in this incarnation
+	highest     version.Version // in all incarnations
+	ready       bool            // in this incarnation
 }
 
-// Record gathers what the nodes' logs say and notes each breach of the order
-// of versions.
+// Record collects events from the nodes' logs and records each violation of the
+// order of versions: a node must not return to an older version. It is safe for
+// concurrent use.
 type Record struct {
-	mutex       sync.Mutex
-	nodes       map[string]*nodeRecord
-	activations []Activation
-	breaches    []string
-	events      map[string]int
-	changed     chan struct{}
+	mutex           sync.Mutex
+	nodes           map[string]*nodeRecord
+	activations     []Activation
+	orderViolations []string
+	events          map[string]int
+	changed         chan struct{}
 }
 
 func newRecord() *Record {
 	return &Record{nodes: map[string]*nodeRecord{}, events: map[string]int{}, changed: make(chan struct{})}
 }
 
-// started notes that a node's process starts and returns its life.
+// started records a start of a node's process and returns the number of its incarnation.
 func (r *Record) started(node string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -58,14 +59,14 @@
 		entry = &nodeRecord{}
 		r.nodes[node] = entry
 	}
-	entry.life++
+	entry.incarnation++
 	entry.active = version.Version{}
 	entry.ready = false
-	return entry.life
+	return entry.incarnation
 }
 
-// line reads one line of a node's log.
-func (r *Record) line(node string, life int, text string) {
+// addLine evaluates one line of a node's log.
+func (r *Record) addLine(node string, incarnation int, text string) {
 	fields := event.Parse(text)
 	name := fields["event"]
 	if name == "" {
@@ -77,11 +78,11 @@
 	entry := r.nodes[node]
 	switch name {
 	case eventActivated:
-		r.activated(node, life, entry, fields)
+		r.addActivation(node, incarnation, entry, fields)
 	case eventReady:
 		entry.ready = true
 		if entry.highest.After(entry.active) {
-			r.breach("node %s is ready in life %d with version %s after it had held %s", node, life, entry.active, entry.highest)
+			r.addOrderViolation("node %s is ready in incarnation %d with version %s, but had %s in force before", node, incarnation, entry.active, entry.highest)
 		}
 	default:
 		return
@@ -90,21 +91,21 @@
 	r.changed = make(chan struct{})
 }
 
-func (r *Record) activated(node string, life int, entry *nodeRecord, fields map[string]string) {
+func (r *Record) addActivation(node string, incarnation int, entry *nodeRecord, fields map[string]string) {
 	activated := parseVersion(fields["version"])
 	if !activated.After(entry.active) {
-		r.breach("node %s went from version %s to %s in life %d", node, entry.active, activated, life)
+		r.addOrderViolation("node %s went from version %s to %s in incarnation %d", node, entry.active, activated, incarnation)
 	}
 	entry.active = activated
 	entry.highest = version.Max(entry.highest, activated)
-	r.activations = append(r.activations, Activation{Node: node, Life: life, Version: activated, At: activationTime(fields)})
+	r.activations = append(r.activations, Activation{Node: node, Incarnation: incarnation, Version: activated, At: activationTime(fields)})
 }
 
-func (r *Record) breach(format string, args ...any) {
-	r.breaches = append(r.breaches, fmt.Sprintf(format, args...))
+func (r *Record) addOrderViolation(format string, args ...any) {
+	r.orderViolations = append(r.orderViolations, fmt.Sprintf(format, args...))
 }
 
-// activationTime is the moment that the node logged, or now if it logged none.
+// activationTime returns the time that the node logged, or the current time if it logged none.
 func activationTime(fields map[string]string) time.Time {
 	milliseconds, err := strconv.ParseInt(fields["at_unix_ms"], 10, 64)
 	if err != nil {
@@ -113,7 +114,7 @@
 	return time.UnixMilli(milliseconds)
 }
 
-// parseVersion reads epoch.revision-digest.
+// parseVersion parses a version of the form epoch.revision-digest.
 func parseVersion(text string) version.Version {
 	numbers, digest, _ := strings.Cut(text, "-")
 	epoch, revision, _ := strings.Cut(numbers, ".")
@@ -123,30 +124,29 @@
 	return parsed
 }
 
-// Breaches returns each breach of the order of versions so far.
-func (r *Record) Breaches() []string {
+// OrderViolations returns all violations of the order of versions so far.
+func (r *Record) OrderViolations() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return append([]string{}, r.breaches...)
+	return append([]string{}, r.orderViolations...)
 }
 
-// Events returns how often an event was logged.
+// Events returns the number of times that an event was logged.
 func (r *Record) Events(name string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.events[name]
 }
 
-// Activations returns all activations so far, in the order in which their
-// lines were read.
+// Activations returns all activations so far, in the order of their log lines.
 func (r *Record) Activations() []Activation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return append([]Activation{}, r.activations...)
 }
 
-// Behind returns the nodes whose version in force is below an epoch and
-// revision.
+// Behind returns those of the nodes whose version in force is older than an epoch
+// and revision, or that have none in force.
 func (r *Record) Behind(nodes []string, epoch, revision uint64) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -164,8 +164,8 @@
 	return behind
 }
 
-// WaitInForce waits until a revision, or a later one, is in force on all of the
-// nodes. It returns those that are still behind when the context ends.
+// WaitInForce waits until a revision, or a newer one, is in force on all of the
+// nodes. If the context ends first, it returns the nodes that are still behind.
 func (r *Record) WaitInForce(ctx context.Context, nodes []string, epoch, revision uint64) []string {
 	wanted := version.Version{Epoch: epoch, Revision: revision}
 	for {
@@ -184,8 +184,8 @@
 	}
 }
 
-// FirstInForce returns when a revision, or a later one, first came into force
-// on a node, and false if it has not.
+// FirstInForce returns the first activation of a revision, or of a newer one, on
+// a node, or false if there is none.
 func (r *Record) FirstInForce(node string, epoch, revision uint64) (Activation, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/lab/mesh/reserve.go
+++ b/lab/mesh/reserve.go
@@ -6,8 +6,8 @@
 	"sliphead/internal/fault"
 )
 
-// The second octets that a mesh may take by itself. The advertised addresses
-// lie advertisedOffset above.
+// The range of second octets from which a mesh selects a free one. The second
+// octet of advertised addresses is higher by advertisedOffset.
 const (
 	firstOctet = 10
 	lastOctet  = 99
@@ -19,8 +19,8 @@
 	reservationPort = 7999
 )
 
-// reserveOctet takes the wanted octet, or the first free one when it is 0, and
-// returns what gives it back.
+// reserveOctet reserves the wanted octet, or the first free one if wanted is 0.
+// Closing the returned listener releases it.
 func reserveOctet(wanted int) (int, net.Listener, error) {
 	first, last := wanted, wanted
 	if wanted == 0 {
@@ -32,5 +32,5 @@
 			return octet, listener, nil
 		}
 	}
-	return 0, nil, fault.New(fault.Settings, "end another lab, or give another --octet", "no free loopback octet from %d to %d", first, last)
+	return 0, nil, fault.New(fault.Settings, "stop another lab, or give another --octet", "no free loopback octet from %d to %d", first, last)
 }
--- a/lab/mesh/settings.go
+++ b/lab/mesh/settings.go
@@ -10,7 +10,7 @@
 	"sliphead/internal/fault"
 )
 
-// nodeSettings is the settings file of a node, as far as the lab sets it.
+// nodeSettings holds the settings of a node that the lab sets.
 type nodeSettings struct {
 	Name      string          `yaml:"name"`
 	Zone      string          `yaml:"zone"`
@@ -25,17 +25,17 @@
 	Claims    claimSettings   `yaml:"claims"`
 }
 
-// claimSettings tell the nodes when the fleet began, so that its first replicas
-// need not wait for a key's life before they vote.
+// claimSettings gives the nodes the start time of the fleet, so that its first
+// replicas may vote without first waiting for the lifetime of a key.
 type claimSettings struct {
 	Since     time.Time `yaml:"since"`
 	ClockSkew string    `yaml:"clockSkew"`
 }
 
-// The nodes of a mesh share one machine's clock, and all start within startTime.
+// All nodes of a mesh use the clock of one machine, and start within maxStartTime.
 const (
-	clockSkew = 100 * time.Millisecond
-	startTime = 3 * time.Second
+	clockSkew    = 100 * time.Millisecond
+	maxStartTime = 3 * time.Second
 )
 
 type workerSettings struct {
@@ -69,8 +69,8 @@
 		Service:   node.Service,
 		Profile:   profile,
 		Listen:    listenSettings{Peer: node.Peer, Inbound: node.Inbound, Outbound: node.Outbound, Admin: node.Admin},
-		Advertise: listenSettings{Peer: node.PeerAt, Inbound: node.InboundAt},
-		Source:    sourceSettings{Configuration: "http://" + addresses.platformAt(portSource), Machines: "http://" + addresses.platformAt(portMachines)},
+		Advertise: listenSettings{Peer: node.AdvertisedPeer, Inbound: node.AdvertisedInbound},
+		Source:    sourceSettings{Configuration: "http://" + addresses.advertisedPlatform(portSource), Machines: "http://" + addresses.advertisedPlatform(portMachines)},
 		Security:  security{Plain: true},
 		Claims:    claimSettings{Since: since, ClockSkew: clockSkew.String()},
 	}
--- a/lab/mesh/worker.go
+++ b/lab/mesh/worker.go
@@ -12,7 +12,7 @@
 	"sliphead/lab/worker"
 )
 
-// Worker is a stand-in worker's process.
+// Worker is a stand-in worker with its process.
 type Worker struct {
 	PlannedWorker
 	mesh     *Mesh
@@ -56,16 +56,16 @@
 	return arguments
 }
 
-// Credential returns what the worker asks callers to present, "" for nothing.
+// Credential returns the credential that the worker requires of callers, "" for none.
 func (w *Worker) Credential() string {
 	return w.mesh.Plan.Secrets[w.PlannedWorker.Service.Secret]
 }
 
-// listenBound is the longest that a worker may take to listen.
-const listenBound = 10 * time.Second
+// listenTimeout bounds the time until a started worker listens.
+const listenTimeout = 10 * time.Second
 
 func (w *Worker) waitListening() error {
-	bound := time.After(listenBound)
+	bound := time.After(listenTimeout)
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
@@ -76,9 +76,9 @@
 		select {
 		case <-ticker.C:
 		case <-w.running.Ended():
-			return fault.New(fault.Worker, "read its log in the lab's directory", "worker %s ended at its start", w.Name)
+			return fault.New(fault.Worker, "read its log in the lab's directory", "worker %s exited before it listened", w.Name)
 		case <-bound:
-			return fault.New(fault.Worker, "read its log in the lab's directory", "worker %s does not listen", w.Name)
+			return fault.New(fault.Worker, "read its log in the lab's directory", "worker %s did not listen in time", w.Name)
 		}
 	}
 }
@@ -89,30 +89,30 @@
 	}
 }
 
-// Runs returns the worker's journal.
+// Runs requests the worker's journal of runs.
 func (w *Worker) Runs() ([]worker.Run, error) {
 	var runs []worker.Run
 	err := getJSON("http://"+w.Address+worker.PathJournal, &runs)
 	return runs, err
 }
 
-// SetFault makes the worker misbehave from now on.
+// SetFault injects a fault into the worker until the next call; FaultNone removes it.
 func (w *Worker) SetFault(kind worker.Fault) error {
 	return w.post(worker.PathFault + "?kind=" + string(kind))
 }
 
-// Drain makes the worker report that it drains and shed new requests.
+// Drain makes the worker report that it is draining, and shed new requests.
 func (w *Worker) Drain() error { return w.post(worker.PathDrain) }
 
 func (w *Worker) post(path string) error {
 	response, err := adminClient.Post("http://"+w.Address+path, "", nil)
 	if err != nil {
-		return fault.Wrap(err, fault.Worker, "read its log in the lab's directory", "ask worker %s", w.Name)
+		return fault.Wrap(err, fault.Worker, "read its log in the lab's directory", "send a request to worker %s", w.Name)
 	}
 	defer response.Body.Close()
 	_, _ = io.Copy(io.Discard, response.Body)
 	if response.StatusCode != http.StatusOK {
-		return fault.New(fault.Settings, "name a known fault", "worker %s refused %s", w.Name, path)
+		return fault.New(fault.Settings, "give a valid fault", "worker %s rejected %s", w.Name, path)
 	}
 	return nil
 }
