--- a/lab/worker/fault.go
+++ b/lab/worker/fault.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Fault is a way in which a worker misbehaves.
+// Fault is a kind of failure that a worker simulates.
 type Fault string
 
-// The ways in which a worker misbehaves.
+// The faults of a worker.
 const (
 	FaultNone  Fault = ""
-	FaultLie   Fault = "lie"   // health says ready and idle, requests are shed
-	FaultHang  Fault = "hang"  // requests run and never answer
-	FaultReset Fault = "reset" // requests run, then the connection is cut without an answer
-	FaultHalf  Fault = "half"  // requests run, then half of the answer is sent and the connection cut
+	FaultLie   Fault = "lie"   // health reports ready and idle, but requests are shed
+	FaultHang  Fault = "hang"  // requests run, but get no response
+	FaultReset Fault = "reset" // requests run, then the connection is closed without a response
+	FaultHalf  Fault = "half"  // requests run, then the connection is closed after half of the response body
 	FaultSlow  Fault = "slow"  // requests run ten times as long
-	FaultError Fault = "error" // requests run, then status 500
-	FaultFlap  Fault = "flap"  // sheds every second second
+	FaultError Fault = "error" // requests run, then get status 500
+	FaultFlap  Fault = "flap"  // sheds requests in every second flapPeriod
 )
 
-// slowFactor is how much longer a request runs under FaultSlow.
+// slowFactor multiplies the run time of requests under FaultSlow.
 const slowFactor = 10
 
-// flapPeriod is how long a flapping worker stays in each state.
+// flapPeriod is the time that a worker under FaultFlap stays in each of its two states.
 const flapPeriod = time.Second
 
-// Valid reports whether the fault is known.
+// Valid reports whether f is one of the faults above.
 func (f Fault) Valid() bool {
 	switch f {
 	case FaultNone, FaultLie, FaultHang, FaultReset, FaultHalf, FaultSlow, FaultError, FaultFlap:
@@ -36,7 +36,7 @@
 	return false
 }
 
-// faultSwitch holds the current fault.
+// faultSwitch holds the current fault for concurrent use.
 type faultSwitch struct{ value atomic.Value }
 
 func (f *faultSwitch) set(fault Fault) { f.value.Store(fault) }
@@ -46,7 +46,7 @@
 	return fault
 }
 
-// sheds reports whether a request is refused before it runs.
+// sheds reports whether requests are shed at a given time.
 func (f Fault) sheds(now time.Time) bool {
 	switch f {
 	case FaultLie:
@@ -57,8 +57,8 @@
 	return false
 }
 
-// answer sends the body in the way of the fault.
-func (f Fault) answer(writer http.ResponseWriter, request *http.Request, body []byte) {
+// respond sends the response body, or fails in the way of the fault.
+func (f Fault) respond(writer http.ResponseWriter, request *http.Request, body []byte) {
 	switch f {
 	case FaultHang:
 		<-request.Context().Done()
--- a/lab/worker/health.go
+++ b/lab/worker/health.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// Health is the body of a health answer.
+// Health is the body of a health response.
 type Health struct {
 	State    string `json:"state"` // starting, ready or draining
 	Ready    bool   `json:"ready"`
 	Draining bool   `json:"draining"`
 	Busy     int    `json:"busy"`  // slots in use
-	Slots    int    `json:"slots"` // slots in all
+	Slots    int    `json:"slots"` // total number of slots
 }
 
-// reported is the health as it was reported from a moment on.
-type reported struct {
+// healthSample is the health at a point in time.
+type healthSample struct {
 	since  time.Time
 	health Health
 }
 
-// laggingHealth reports health as it was some time ago.
+// laggingHealth reports health with a delay of lag.
 type laggingHealth struct {
 	mutex  sync.Mutex
 	lag    time.Duration
-	recent []reported
+	recent []healthSample
 }
 
-// observe records the present health and returns the one to report.
-func (l *laggingHealth) observe(now time.Time, present Health) Health {
+// observe records the current health and returns the one to report: the newest that is at least as old as lag, or else the oldest recorded.
+func (l *laggingHealth) observe(now time.Time, current Health) Health {
 	if l.lag <= 0 {
-		return present
+		return current
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.recent = append(l.recent, reported{since: now, health: present})
+	l.recent = append(l.recent, healthSample{since: now, health: current})
 	for len(l.recent) > 1 && !l.recent[1].since.Add(l.lag).After(now) {
 		l.recent = l.recent[1:]
 	}
 	return l.recent[0].health
 }
 
-// state names the health in one word.
+// state returns the value of the field State.
 func (h Health) state() string {
 	switch {
 	case h.Draining:
@@ -55,10 +55,10 @@
 	}
 }
 
-// serveHealth answers a probe. A probe takes a slot for the probe's cost.
+// serveHealth handles a health probe. A probe occupies a slot for the configured probe cost.
 func (w *Worker) serveHealth(writer http.ResponseWriter, request *http.Request) {
-	w.payForProbe(request)
-	health := w.health.observe(time.Now(), w.presentHealth())
+	w.simulateProbeCost(request)
+	health := w.health.observe(time.Now(), w.currentHealth())
 	if w.fault.get() == FaultLie {
 		health = Health{Ready: true, Slots: w.settings.Slots}
 	}
@@ -70,7 +70,7 @@
 	_ = json.NewEncoder(writer).Encode(health)
 }
 
-func (w *Worker) payForProbe(request *http.Request) {
+func (w *Worker) simulateProbeCost(request *http.Request) {
 	if w.settings.ProbeCost <= 0 {
 		return
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-func (w *Worker) presentHealth() Health {
+func (w *Worker) currentHealth() Health {
 	return Health{
 		Ready:    !time.Now().Before(w.readyAt),
 		Draining: w.draining.Load(),
--- a/lab/worker/journal.go
+++ b/lab/worker/journal.go
@@ -13,14 +13,14 @@
 // Ending is how a run ended.
 type Ending string
 
-// The ways in which a run ends.
+// The endings of a run.
 const (
 	EndingRunning   Ending = "running"
 	EndingDone      Ending = "done"
-	EndingCancelled Ending = "cancelled" // the caller left or the deadline passed while it ran
+	EndingCancelled Ending = "cancelled" // the caller disconnected or the deadline passed during the run
 )
 
-// Run is one run of a request. A run begins when the request takes a slot.
+// Run is one execution of a request. It begins when the request has a slot.
 type Run struct {
 	Worker         string    `json:"worker"`
 	Nonce          string    `json:"nonce"`
@@ -36,13 +36,13 @@
 	BodyDigest     string    `json:"bodyDigest,omitempty"`
 }
 
-// Journal records every run of a worker.
+// Journal records every run of a worker. It is safe for concurrent use.
 type Journal struct {
 	mutex sync.Mutex
 	runs  []Run
 }
 
-// begin records a run and returns its index.
+// begin records the start of a run and returns its index.
 func (j *Journal) begin(worker string, request *http.Request) int {
 	run := Run{
 		Worker:         worker,
@@ -61,7 +61,7 @@
 	return len(j.runs) - 1
 }
 
-// end records how a run ended.
+// end records the end of the run with that index.
 func (j *Journal) end(index int, ending Ending, bodyBytes int64, bodyDigest string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
--- a/lab/worker/listener.go
+++ b/lab/worker/listener.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// boundedListener closes connections beyond a bound at once and makes each new
-// one cost time before its first byte is read.
+// boundedListener limits the number of open connections by closing further ones
+// at once. It delays the first read of each connection to simulate the cost of
+// its setup.
 type boundedListener struct {
 	net.Listener
-	bound    int64
-	cost     time.Duration
-	open     atomic.Int64
-	accepted atomic.Int64
-	refused  atomic.Int64
+	maxOpen        int64
+	firstReadDelay time.Duration
+	open           atomic.Int64
+	accepted       atomic.Int64
+	rejected       atomic.Int64
 }
 
 // Accept implements net.Listener.
@@ -25,9 +26,9 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) > l.bound {
+		if l.open.Add(1) > l.maxOpen {
 			l.open.Add(-1)
-			l.refused.Add(1)
+			l.rejected.Add(1)
 			_ = connection.Close()
 			continue
 		}
@@ -36,22 +37,22 @@
 	}
 }
 
-// countedConnection gives its place back when it is closed.
+// countedConnection decrements the number of open connections when it is closed.
 type countedConnection struct {
 	net.Conn
-	listener *boundedListener
-	paid     sync.Once
-	closed   sync.Once
+	listener       *boundedListener
+	delayFirstRead sync.Once
+	closeOnce      sync.Once
 }
 
 // Read implements net.Conn.
 func (c *countedConnection) Read(buffer []byte) (int, error) {
-	c.paid.Do(func() { time.Sleep(c.listener.cost) })
+	c.delayFirstRead.Do(func() { time.Sleep(c.listener.firstReadDelay) })
 	return c.Conn.Read(buffer)
 }
 
 // Close implements net.Conn.
 func (c *countedConnection) Close() error {
-	c.closed.Do(func() { c.listener.open.Add(-1) })
+	c.closeOnce.Do(func() { c.listener.open.Add(-1) })
 	return c.Conn.Close()
 }
--- a/lab/worker/run.go
+++ b/lab/worker/run.go
@@ -18,47 +18,48 @@
 	"sliphead/lab/echo"
 )
 
-// Counts are a worker's totals.
+// Counts holds a worker's totals since its start, and its open connections.
 type Counts struct {
-	Connections int64 `json:"connections"` // accepted since the start
-	Refused     int64 `json:"refused"`     // connections beyond the bound
+	Connections int64 `json:"connections"` // accepted
+	Refused     int64 `json:"refused"`     // connections closed at once because too many were open
 	Open        int64 `json:"open"`
-	Shed        int64 `json:"shed"` // requests refused before they ran
+	Shed        int64 `json:"shed"` // requests rejected before they ran
 	Runs        int   `json:"runs"`
 }
 
 func (w *Worker) serveCounts(writer http.ResponseWriter, _ *http.Request) {
 	_ = json.NewEncoder(writer).Encode(Counts{
 		Connections: w.listener.accepted.Load(),
-		Refused:     w.listener.refused.Load(),
+		Refused:     w.listener.rejected.Load(),
 		Open:        w.listener.open.Load(),
 		Shed:        w.shed.Load(),
 		Runs:        len(w.Journal.Runs()),
 	})
 }
 
-// echoed are the headers by which a node matches an answer to its request. A
-// refusal without them does not count as not run.
-var echoed = []string{outcome.RequestID, "Sliphead-Attempt"}
+// echoedHeaders are copied from a request to its response. A node matches a
+// response to its request by them; without them it does not treat a rejected
+// request as not run.
+var echoedHeaders = []string{outcome.RequestID, "Sliphead-Attempt"}
 
 func (w *Worker) serveRequest(writer http.ResponseWriter, request *http.Request) {
-	for _, name := range echoed {
+	for _, name := range echoedHeaders {
 		if value := request.Header.Get(name); value != "" {
 			writer.Header().Set(name, value)
 		}
 	}
 	if !w.authorized(request) {
-		w.refuse(writer, request, http.StatusUnauthorized, "present the route's credential")
+		w.reject(writer, request, http.StatusUnauthorized, "present the route's credential")
 		return
 	}
 	if w.sheds() {
-		w.refuse(writer, request, http.StatusServiceUnavailable, "ask another worker")
+		w.reject(writer, request, http.StatusServiceUnavailable, "ask another worker")
 		return
 	}
 	ctx, cancel := withDeadline(request)
 	defer cancel()
 	if !w.takeSlot(ctx) {
-		w.refuse(writer, request, http.StatusServiceUnavailable, "all slots are busy; ask another worker")
+		w.reject(writer, request, http.StatusServiceUnavailable, "all slots are busy; ask another worker")
 		return
 	}
 	defer func() { <-w.slots }()
@@ -74,8 +75,8 @@
 	return w.draining.Load() || now.Before(w.readyAt) || w.fault.get().sheds(now)
 }
 
-// refuse answers a request that was not run.
-func (w *Worker) refuse(writer http.ResponseWriter, request *http.Request, status int, remedy string) {
+// reject responds to a request that was not run.
+func (w *Worker) reject(writer http.ResponseWriter, request *http.Request, status int, remedy string) {
 	w.shed.Add(1)
 	writer.Header().Set(outcome.Header, string(outcome.NotRun))
 	writer.Header().Set(outcome.Attempt, request.Header.Get(outcome.Attempt))
@@ -83,7 +84,7 @@
 	http.Error(writer, remedy, status)
 }
 
-// withDeadline bounds a request by the deadline that it carries.
+// withDeadline applies the deadline in the request's header, if any, to its context.
 func withDeadline(request *http.Request) (context.Context, context.CancelFunc) {
 	milliseconds, err := strconv.ParseInt(request.Header.Get(outcome.Deadline), 10, 64)
 	if err != nil || milliseconds <= 0 {
@@ -106,9 +107,9 @@
 	}
 }
 
-// run executes a request that holds a slot.
+// run executes a request that has a slot.
 func (w *Worker) run(ctx context.Context, writer http.ResponseWriter, request *http.Request) {
-	misbehaviour := w.fault.get()
+	activeFault := w.fault.get()
 	index := w.Journal.begin(w.settings.Name, request)
 	ending := EndingCancelled
 	digest := sha256.New()
@@ -116,10 +117,10 @@
 	defer func() { w.Journal.end(index, ending, bodyBytes, hex.EncodeToString(digest.Sum(nil))) }()
 
 	bodyBytes, err := io.Copy(digest, request.Body)
-	if err != nil || !w.work(ctx, request, misbehaviour) {
+	if err != nil || !w.work(ctx, request, activeFault) {
 		panic(http.ErrAbortHandler)
 	}
-	nested, err := w.callOn(ctx, request)
+	nested, err := w.makeNestedCall(ctx, request)
 	if err != nil {
 		ending = EndingDone
 		writer.Header().Set("Content-Type", "text/plain")
@@ -127,25 +128,25 @@
 		return
 	}
 	ending = EndingDone
-	body := w.answerBody(request, bodyBytes, hex.EncodeToString(digest.Sum(nil)), nested)
+	body := w.responseBody(request, bodyBytes, hex.EncodeToString(digest.Sum(nil)), nested)
 	writer.Header().Set("Content-Type", "application/json")
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	misbehaviour.answer(writer, request, body)
+	activeFault.respond(writer, request, body)
 }
 
-// work spends the time that the request runs and reports whether it finished.
-func (w *Worker) work(ctx context.Context, request *http.Request, misbehaviour Fault) bool {
+// work waits for the run time of the request and reports whether it passed before ctx ended.
+func (w *Worker) work(ctx context.Context, request *http.Request, activeFault Fault) bool {
 	duration := w.settings.RunTime
 	if micros, err := strconv.ParseInt(request.Header.Get(echo.HeaderRunMicros), 10, 64); err == nil {
 		duration = time.Duration(micros) * time.Microsecond
 	}
-	if misbehaviour == FaultSlow {
+	if activeFault == FaultSlow {
 		duration *= slowFactor
 	}
 	return sleep.For(ctx, duration)
 }
 
-func (w *Worker) answerBody(request *http.Request, bodyBytes int64, bodyDigest, nested string) []byte {
+func (w *Worker) responseBody(request *http.Request, bodyBytes int64, bodyDigest, nested string) []byte {
 	nonce := request.Header.Get(echo.HeaderNonce)
 	size, _ := strconv.Atoi(request.Header.Get(echo.HeaderAnswerBytes))
 	body, _ := json.Marshal(echo.Answer{
@@ -161,15 +162,16 @@
 	return body
 }
 
-// passedOn are the headers that a well-behaved worker copies to its own calls.
-var passedOn = []string{
+// propagatedHeaders are the headers that a worker has to copy from a request to its nested calls.
+var propagatedHeaders = []string{
 	outcome.RequestID, outcome.Deadline, outcome.RetryBudget, outcome.Depth,
 	echo.HeaderNonce, echo.HeaderAttempt, echo.HeaderRunMicros,
 }
 
-// callOn makes the first of the calls that the request asks for and returns
-// the name of the worker that answered.
-func (w *Worker) callOn(ctx context.Context, request *http.Request) (string, error) {
+// makeNestedCall makes the first of the request's nested calls, passes the others
+// on with it, and returns the name of the worker that responded. It returns "" if
+// there is no nested call.
+func (w *Worker) makeNestedCall(ctx context.Context, request *http.Request) (string, error) {
 	next, rest, _ := strings.Cut(request.Header.Get(echo.HeaderCalls), ",")
 	if next == "" || w.settings.Outbound == "" {
 		return "", nil
@@ -178,7 +180,7 @@
 	if err != nil {
 		return "", err
 	}
-	for _, name := range passedOn {
+	for _, name := range propagatedHeaders {
 		if value := request.Header.Get(name); value != "" {
 			call.Header.Set(name, value)
 		}
@@ -191,16 +193,16 @@
 		return "", err
 	}
 	defer response.Body.Close()
-	return readNested(response, call)
+	return readNestedResponse(response, call)
 }
 
-func readNested(response *http.Response, call *http.Request) (string, error) {
+func readNestedResponse(response *http.Response, call *http.Request) (string, error) {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return "", err
 	}
 	if response.StatusCode != http.StatusOK {
-		return "", errNested(response, body)
+		return "", nestedError(response, body)
 	}
 	expectation := echo.Expectation{
 		Nonce:      call.Header.Get(echo.HeaderNonce),
@@ -211,15 +213,15 @@
 	return answer.Worker, err
 }
 
-// nestedMark begins the text of a nested call's error, which the levels above
-// pass on unchanged.
-const nestedMark = "nested call to "
+// nestedErrorPrefix starts the text of a nested call's error. The levels above
+// find the text by it and pass it on unchanged.
+const nestedErrorPrefix = "nested call to "
 
-func errNested(response *http.Response, body []byte) error {
-	if index := bytes.Index(body, []byte(nestedMark)); index >= 0 {
+func nestedError(response *http.Response, body []byte) error {
+	if index := bytes.Index(body, []byte(nestedErrorPrefix)); index >= 0 {
 		return fault.New(fault.Worker, "see the nested call's own log line", "%s", bytes.TrimSpace(body[index:]))
 	}
 	header := response.Header
 	return fault.New(fault.Worker, "see the nested call's own log line", "%s%s ended with status %d, outcome %q, %q",
-		nestedMark, response.Request.URL.Path, response.StatusCode, header.Get(outcome.Header), header.Get(outcome.Remedy))
+		nestedErrorPrefix, response.Request.URL.Path, response.StatusCode, header.Get(outcome.Header), header.Get(outcome.Remedy))
 }
--- a/lab/worker/worker.go
+++ b/lab/worker/worker.go
@@ -12,7 +12,7 @@
 	"sliphead/internal/fault"
 )
 
-// The paths that are not requests.
+// The paths of the lab's own endpoints. Every other path is a request to run.
 const (
 	PathHealth  = "/health"
 	PathJournal = "/journal"
@@ -21,7 +21,7 @@
 	PathCounts  = "/lab/counts"
 )
 
-// Worker is one stand-in back end.
+// Worker is one stand-in back end. Its methods may be called concurrently.
 type Worker struct {
 	Journal  Journal
 	settings Settings
@@ -37,7 +37,7 @@
 	shed     atomic.Int64
 }
 
-// Start listens and serves until Stop is called.
+// Start starts a worker, which serves until Stop is called.
 func Start(settings Settings) (*Worker, error) {
 	inner, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
@@ -48,7 +48,7 @@
 		readyAt:  time.Now().Add(settings.ColdStart),
 		slots:    make(chan struct{}, settings.Slots),
 		health:   laggingHealth{lag: settings.HealthLag},
-		listener: &boundedListener{Listener: inner, bound: int64(settings.Connections), cost: settings.ConnectionCost},
+		listener: &boundedListener{Listener: inner, maxOpen: int64(settings.Connections), firstReadDelay: settings.ConnectionCost},
 		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: settings.Slots}},
 	}
 	worker.server = &http.Server{
@@ -78,17 +78,17 @@
 	}
 }
 
-// Address returns the address that the worker listens on.
+// Address returns the listen address as host:port.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// Drain makes the worker report draining and shed new requests.
+// Drain makes the worker report that it is draining, and shed new requests.
 func (w *Worker) Drain() { w.draining.Store(true) }
 
-// SetFault makes the worker misbehave from now on.
+// SetFault replaces the current fault; FaultNone removes it.
 func (w *Worker) SetFault(kind Fault) { w.fault.set(kind) }
 
-// Stop drains and waits for requests in flight until the context ends, then
-// cuts the rest.
+// Stop drains the worker and waits for requests in flight. If the context ends
+// first, it closes their connections.
 func (w *Worker) Stop(ctx context.Context) {
 	w.Drain()
 	if w.server.Shutdown(ctx) != nil {
--- a/lab/worker/worker_test.go
+++ b/lab/worker/worker_test.go
@@ -30,8 +30,8 @@
 	return started
 }
 
-// ask sends a request with headers given in pairs.
-func ask(t *testing.T, ctx context.Context, started *Worker, path, body string, headers ...string) (*http.Response, []byte, error) {
+// send sends a POST request with headers given as name-value pairs and reads the whole response.
+func send(t *testing.T, ctx context.Context, started *Worker, path, body string, headers ...string) (*http.Response, []byte, error) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+started.Address()+path, strings.NewReader(body))
 	must.NoError(t, err)
@@ -48,17 +48,17 @@
 	return response, content, err
 }
 
-// eventually polls a condition; the test's own time limit bounds it.
+// eventually waits until the condition is met; only the timeout of the test binary bounds it.
 func eventually(condition func() bool) {
 	for !condition() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func TestAnswerVerifiesAndTheJournalKnowsTheRun(t *testing.T) {
+func TestResponseIsVerifiableAndRunIsInJournal(t *testing.T) {
 	started := start(t, func(s *Settings) { s.Credential = "secret" })
 	headers := []string{"Authorization", "Bearer secret", echo.HeaderNonce, "n1", echo.HeaderAnswerBytes, "5000", outcome.IdempotencyKey, "k1"}
-	_, body, err := ask(t, context.Background(), started, "/orders", "content", headers...)
+	_, body, err := send(t, context.Background(), started, "/orders", "content", headers...)
 	must.NoError(t, err)
 	expected := echo.Expectation{Nonce: "n1", Path: "/orders", BodyDigest: echo.Digest([]byte("content")), BodyBytes: 7, AnswerBytes: 5000}
 	_, err = expected.Verify(body)
@@ -69,56 +69,56 @@
 	must.Eq(t, 7, run.BodyBytes)
 }
 
-func TestRefusedRequestsAreNotRun(t *testing.T) {
+func TestRejectedRequestsAreNotRun(t *testing.T) {
 	started := start(t, func(s *Settings) { s.Credential = "secret" })
-	response, _, err := ask(t, context.Background(), started, "/", "")
+	response, _, err := send(t, context.Background(), started, "/", "")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusUnauthorized, response.StatusCode)
 	started.SetFault(FaultLie)
-	health, _, err := ask(t, context.Background(), started, PathHealth, "")
+	health, _, err := send(t, context.Background(), started, PathHealth, "")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, health.StatusCode)
 	started.SetFault(FaultNone)
 	started.Drain()
-	response, _, err = ask(t, context.Background(), started, "/", "", "Authorization", "Bearer secret")
+	response, _, err = send(t, context.Background(), started, "/", "", "Authorization", "Bearer secret")
 	must.NoError(t, err)
 	must.Eq(t, string(outcome.NotRun), response.Header.Get(outcome.Header))
-	health, _, err = ask(t, context.Background(), started, PathHealth, "")
+	health, _, err = send(t, context.Background(), started, PathHealth, "")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusServiceUnavailable, health.StatusCode)
 	must.SliceEmpty(t, started.Journal.Runs())
 }
 
-func TestCancellationAndDeadlineEndARun(t *testing.T) {
+func TestCancellationAndDeadlineEndRunsAndWaits(t *testing.T) {
 	started := start(t, func(s *Settings) { s.RunTime = time.Hour })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		_, _, _ = ask(t, ctx, started, "/", "")
+		_, _, _ = send(t, ctx, started, "/", "")
 		close(ended)
 	}()
 	eventually(func() bool { return len(started.Journal.Runs()) == 1 })
-	shed, _, err := ask(t, context.Background(), started, "/", "", outcome.Deadline, "1")
+	shed, _, err := send(t, context.Background(), started, "/", "", outcome.Deadline, "1")
 	must.NoError(t, err)
 	must.Eq(t, string(outcome.NotRun), shed.Header.Get(outcome.Header))
 	cancel()
 	<-ended
 	eventually(func() bool { return started.Journal.Runs()[0].Ending == EndingCancelled })
-	_, _, err = ask(t, context.Background(), started, "/", "", outcome.Deadline, "1")
+	_, _, err = send(t, context.Background(), started, "/", "", outcome.Deadline, "1")
 	must.Error(t, err)
 }
 
-func TestFaultsCutTheAnswerAfterTheRun(t *testing.T) {
+func TestResetAndHalfFaultsCutTheResponseAfterTheRun(t *testing.T) {
 	started := start(t, func(*Settings) {})
 	for index, kind := range []Fault{FaultReset, FaultHalf} {
 		started.SetFault(kind)
-		_, _, err := ask(t, context.Background(), started, "/", "", echo.HeaderNonce, "n")
+		_, _, err := send(t, context.Background(), started, "/", "", echo.HeaderNonce, "n")
 		must.Error(t, err)
 		must.SliceLen(t, index+1, started.Journal.Runs())
 	}
 }
 
-func TestConnectionsBeyondTheBoundAreClosed(t *testing.T) {
+func TestConnectionsBeyondTheLimitAreClosed(t *testing.T) {
 	started := start(t, func(s *Settings) { s.Connections = 1 })
 	first, err := net.Dial("tcp", started.Address())
 	must.NoError(t, err)
@@ -128,15 +128,15 @@
 	defer second.Close()
 	_, err = second.Read(make([]byte, 1))
 	must.Error(t, err)
-	must.Eq(t, 1, started.listener.refused.Load())
+	must.Eq(t, 1, started.listener.rejected.Load())
 	must.NoError(t, first.Close())
 	eventually(func() bool {
-		response, body, err := ask(t, context.Background(), started, PathCounts, "")
+		response, body, err := send(t, context.Background(), started, PathCounts, "")
 		return err == nil && response.StatusCode == http.StatusOK && json.Valid(body)
 	})
 }
 
-func TestLaggingHealthReportsThePast(t *testing.T) {
+func TestHealthIsReportedAfterTheLag(t *testing.T) {
 	lagging := laggingHealth{lag: time.Second}
 	begin := time.Unix(1000, 0)
 	must.Eq(t, 0, lagging.observe(begin, Health{Busy: 0}).Busy)
