--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -56,7 +56,7 @@
 		faultOlderVersion:   "went from version",
 		faultIgnoresUpdates: "which is not selected",
 		faultRunsTwice:      "ran 2 times",
-		faultReportsNotRun:  "said to be not run, yet a worker ran it",
+		faultReportsNotRun:  "reported as not run, but a worker ran it",
 	} {
 		t.Run(fault, func(t *testing.T) {
 			result := runDemo(t, fault, 6)
--- a/lab/load/audit.go
+++ b/lab/load/audit.go
@@ -7,63 +7,63 @@
 	"sliphead/lab/worker"
 )
 
-// Audit compares what callers were told with what the workers' journals say.
+// Audit holds the contradictions between the results that callers received and the workers' journals.
 type Audit struct {
-	Wrong         []string // answers passed on as whole that were not, or belonged to another
-	RanThoughNot  []string // attempts said to be not run that ran
-	RanTwice      []string // keys, or attempts that may not be repeated, that ran more than once
-	AnsweredNever []string // attempts answered that no journal knows
+	WrongResponses     []string // responses reported as answered that were incomplete or of another request
+	RanDespiteNotRun   []string // attempts reported as not run that ran
+	RanMoreThanOnce    []string // idempotency keys, or attempts that may run once, that ran more than once
+	AnsweredWithoutRun []string // attempts reported as answered whose nonce is in no journal
 }
 
-// Violations returns all findings.
+// Violations returns the texts of all contradictions.
 func (a Audit) Violations() []string {
 	var all []string
-	all = append(all, a.Wrong...)
-	all = append(all, a.RanThoughNot...)
-	all = append(all, a.RanTwice...)
-	return append(all, a.AnsweredNever...)
+	all = append(all, a.WrongResponses...)
+	all = append(all, a.RanDespiteNotRun...)
+	all = append(all, a.RanMoreThanOnce...)
+	return append(all, a.AnsweredWithoutRun...)
 }
 
-// submissionID names one attempt as journals see it.
-type submissionID struct{ nonce, attempt, path string }
+// attemptID identifies an attempt in the journals.
+type attemptID struct{ nonce, attempt, path string }
 
-// Compare audits attempts against the journals of all workers. Journals must
-// be whole: no worker's process may have ended.
+// Compare audits attempts against the journals of all workers. The journals must
+// be complete: a worker process that exited has lost its journal.
 func Compare(attempts []Attempt, runs []worker.Run) Audit {
 	var audit Audit
-	byAttempt := map[submissionID]int{}
+	byAttempt := map[attemptID]int{}
 	byNonce := map[string]int{}
 	byKey := map[string][]worker.Run{}
 	for _, run := range runs {
-		byAttempt[submissionID{run.Nonce, run.Attempt, run.Path}]++
+		byAttempt[attemptID{run.Nonce, run.Attempt, run.Path}]++
 		byNonce[run.Nonce]++
 		if run.IdempotencyKey != "" {
 			byKey[run.IdempotencyKey] = append(byKey[run.IdempotencyKey], run)
 		}
 	}
 	for _, attempt := range attempts {
-		ran := byAttempt[submissionID{attempt.Nonce, strconv.Itoa(attempt.Number), attempt.Path}]
+		ran := byAttempt[attemptID{attempt.Nonce, strconv.Itoa(attempt.Number), attempt.Path}]
 		audit.classify(attempt, ran, byNonce[attempt.Nonce])
 	}
 	for key, runs := range byKey {
 		if len(runs) > 1 {
-			audit.RanTwice = append(audit.RanTwice, fmt.Sprintf("key %s ran %d times, on %s and %s", key, len(runs), runs[0].Worker, runs[1].Worker))
+			audit.RanMoreThanOnce = append(audit.RanMoreThanOnce, fmt.Sprintf("key %s ran %d times, on %s and %s", key, len(runs), runs[0].Worker, runs[1].Worker))
 		}
 	}
 	return audit
 }
 
-func (a *Audit) classify(attempt Attempt, ranAttempt, ranAtAll int) {
+func (a *Audit) classify(attempt Attempt, attemptRuns, nonceRuns int) {
 	name := fmt.Sprintf("%s attempt %d through %s", attempt.Nonce, attempt.Number, attempt.Edge)
-	if attempt.Once && ranAttempt > 1 {
-		a.RanTwice = append(a.RanTwice, fmt.Sprintf("%s ran %d times", name, ranAttempt))
+	if attempt.Once && attemptRuns > 1 {
+		a.RanMoreThanOnce = append(a.RanMoreThanOnce, fmt.Sprintf("%s ran %d times", name, attemptRuns))
 	}
 	switch {
 	case attempt.Ending == EndingWrong:
-		a.Wrong = append(a.Wrong, name+": "+attempt.Cause)
-	case attempt.Ending == EndingNotRun && ranAttempt > 0:
-		a.RanThoughNot = append(a.RanThoughNot, name+" was said to be not run, yet a worker ran it")
-	case attempt.Ending == EndingAnswered && ranAtAll == 0:
-		a.AnsweredNever = append(a.AnsweredNever, name+" was answered, yet no worker ran it")
+		a.WrongResponses = append(a.WrongResponses, name+": "+attempt.Cause)
+	case attempt.Ending == EndingNotRun && attemptRuns > 0:
+		a.RanDespiteNotRun = append(a.RanDespiteNotRun, name+" was reported as not run, but a worker ran it")
+	case attempt.Ending == EndingAnswered && nonceRuns == 0:
+		a.AnsweredWithoutRun = append(a.AnsweredWithoutRun, name+" was answered, but no worker ran it")
 	}
 }
--- a/lab/load/caller.go
+++ b/lab/load/caller.go
@@ -15,53 +15,53 @@
 	"sliphead/lab/echo"
 )
 
-// Target is an edge to which callers submit.
+// Target is an edge node, or a worker, to which callers send requests.
 type Target struct {
 	Name    string
 	Address string // host:port
-	// Direct says that the target is a worker; it asks for the credential.
+	// Direct marks a worker as the target. It requires the credential, if there is one.
 	Direct     bool
 	Credential string
 }
 
-// Caller submits requests and verifies their answers.
+// Caller sends requests and verifies the responses. It is safe for concurrent use.
 type Caller struct {
 	client *http.Client
 }
 
-// NewCaller returns a caller that dials from an address.
+// NewCaller returns a caller with a source address; any address if from is not valid.
 func NewCaller(from netip.Addr) *Caller {
-	dialer := &net.Dialer{Timeout: dialBound}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	if from.IsValid() {
 		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(from, 0))
 	}
 	return &Caller{client: &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnectionsPerHost,
 		MaxIdleConns:        0,
 		DisableCompression:  true,
 	}}}
 }
 
 const (
-	dialBound       = 2 * time.Second
-	idleConnections = 256
+	dialTimeout               = 2 * time.Second
+	maxIdleConnectionsPerHost = 256
 )
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Submission is one request as a caller makes it.
+// Submission is one attempt that a caller is to make.
 type Submission struct {
 	Class  Class
 	Nonce  string
 	Key    string // idempotency key, "" for none
-	Number int    // of the attempt, from 1
+	Number int    // of the attempt of the request, from 1
 	Target Target
 	Start  time.Time // intended
 }
 
-// Submit makes the request and waits for its end.
+// Submit sends the request and waits for its end, at most until the deadline of its class, counted from the intended start.
 func (c *Caller) Submit(ctx context.Context, submission Submission) Attempt {
 	class := submission.Class
 	attempt := Attempt{
@@ -98,7 +98,7 @@
 	}
 }
 
-// content is the request's body.
+// content returns the body of the request.
 func (s Submission) content() []byte {
 	return []byte(echo.Filler("body-"+s.Nonce, s.Class.BodyBytes))
 }
@@ -106,7 +106,7 @@
 func (c *Caller) send(ctx context.Context, submission Submission) (*http.Response, error) {
 	class := submission.Class
 	content := submission.content()
-	body := bodyOf(content, time.Duration(class.BodyMillis)*time.Millisecond)
+	body := newBodyReader(content, time.Duration(class.BodyMillis)*time.Millisecond)
 	request, err := http.NewRequestWithContext(ctx, class.Method, "http://"+submission.Target.Address+class.Path, body)
 	if err != nil {
 		return nil, err
@@ -141,24 +141,24 @@
 	}
 }
 
-func bodyOf(content []byte, spread time.Duration) io.Reader {
+func newBodyReader(content []byte, spread time.Duration) io.Reader {
 	switch {
 	case len(content) == 0:
 		return http.NoBody
 	case spread <= 0:
 		return bytes.NewReader(content)
 	}
-	return &slowReader{content: content, piece: max(1, len(content)/bodyPieces), pause: spread / bodyPieces}
+	return &slowReader{content: content, chunkBytes: max(1, len(content)/bodyChunks), pause: spread / bodyChunks}
 }
 
-// bodyPieces is the number of pieces in which a spread body is sent.
-const bodyPieces = 20
+// bodyChunks is the number of chunks of a body that is sent over a period.
+const bodyChunks = 20
 
-// slowReader gives its content in pieces with a pause before each.
+// slowReader returns its content in chunks, with a pause before each.
 type slowReader struct {
-	content []byte
-	piece   int
-	pause   time.Duration
+	content    []byte
+	chunkBytes int
+	pause      time.Duration
 }
 
 // Read implements io.Reader.
@@ -167,21 +167,21 @@
 		return 0, io.EOF
 	}
 	time.Sleep(r.pause)
-	count := copy(buffer[:min(len(buffer), r.piece)], r.content)
+	count := copy(buffer[:min(len(buffer), r.chunkBytes)], r.content)
 	r.content = r.content[count:]
 	return count, nil
 }
 
-// classify reads the response and decides how the attempt ended.
+// classify reads the response and sets the ending of the attempt.
 func classify(attempt *Attempt, response *http.Response, submission Submission) {
 	defer response.Body.Close()
 	attempt.Status = response.StatusCode
 	body, err := io.ReadAll(response.Body)
-	told := outcome.Outcome(response.Header.Get(outcome.Header))
-	if told == "" && submission.Target.Direct {
-		told = outcome.Answered // a worker says only what it did not run
+	reported := outcome.Outcome(response.Header.Get(outcome.Header))
+	if reported == "" && submission.Target.Direct {
+		reported = outcome.Answered // a worker sets the header only on requests that it did not run
 	}
-	switch told {
+	switch reported {
 	case outcome.NotRun:
 		attempt.Ending = EndingNotRun
 		attempt.Cause = response.Header.Get(outcome.Remedy)
@@ -189,25 +189,25 @@
 		attempt.Ending = EndingUnknown
 		attempt.Cause = response.Header.Get(outcome.Remedy)
 	case outcome.Answered:
-		classifyAnswer(attempt, body, err, submission.expectation())
+		classifyAnswered(attempt, body, err, submission.expectation())
 	default:
 		attempt.Ending = EndingFailed
 		attempt.Cause = fmt.Sprintf("status %d without an outcome", response.StatusCode)
 	}
 }
 
-// shownBytes is how much of a worker's error is kept as the cause.
-const shownBytes = 200
+// maxCauseBytes limits the part of a worker's error text that is stored as the cause.
+const maxCauseBytes = 200
 
-func classifyAnswer(attempt *Attempt, body []byte, readError error, expected echo.Expectation) {
+func classifyAnswered(attempt *Attempt, body []byte, readError error, expected echo.Expectation) {
 	switch {
-	case readError != nil: // the caller can see that the answer was cut
+	case readError != nil: // the caller detects that the response is incomplete
 		attempt.Ending = EndingFailed
 		attempt.Cause = readError.Error()
 		return
-	case attempt.Status != http.StatusOK: // the worker's own error, passed on
+	case attempt.Status != http.StatusOK: // an error of the worker, relayed by the nodes
 		attempt.Ending = EndingFailed
-		attempt.Cause = "error status by the worker: " + string(body[:min(len(body), shownBytes)])
+		attempt.Cause = "error status by the worker: " + string(body[:min(len(body), maxCauseBytes)])
 		return
 	}
 	answer, err := expected.Verify(body)
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Generator runs classes of load against edges.
+// Generator generates the load of several classes against edge nodes, or workers for classes with Direct set.
 type Generator struct {
 	Caller  *Caller
 	Targets []Target
@@ -16,26 +16,26 @@
 	Result  *Result
 
 	factors  sync.Map // float64 by class name
-	prefix   string   // of nonces, so that two generators never share one
+	prefix   string   // of nonces, so that two generators do not use the same one
 	number   atomic.Int64
 	inFlight atomic.Int64
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
 }
 
-// inFlightBound is the most requests that a generator has open at once.
-const inFlightBound = 4000
+// maxInFlight limits the requests that a generator has in flight. A request above it is recorded as unsent.
+const maxInFlight = 4000
 
-// resubmitPause is the time that a caller waits before it asks again.
-const resubmitPause = 300 * time.Millisecond
+// resubmitDelay is the time from the end of an attempt until the caller retries.
+const resubmitDelay = 300 * time.Millisecond
 
 // NewGenerator returns a generator whose nonces begin with prefix.
 func NewGenerator(caller *Caller, targets []Target, prefix string) *Generator {
 	return &Generator{Caller: caller, Targets: targets, Result: newResult(), prefix: prefix}
 }
 
-// SetFactor multiplies the rate of a class, or of all classes when it is "",
-// from now on.
+// SetFactor sets the factor by which the rate of a class is multiplied. An empty
+// class sets it for all classes and removes the factors of single ones.
 func (g *Generator) SetFactor(class string, factor float64) {
 	if class == "" {
 		g.factors.Clear()
@@ -43,7 +43,7 @@
 	g.factors.Store(class, factor)
 }
 
-// factor returns the present multiplier of a class's rate.
+// factor returns the current factor of a class's rate.
 func (g *Generator) factor(class string) float64 {
 	for _, name := range []string{class, ""} {
 		if factor, found := g.factors.Load(name); found {
@@ -53,7 +53,7 @@
 	return 1
 }
 
-// targets returns where requests of a class go.
+// targets returns the targets of a class.
 func (g *Generator) targets(class Class) []Target {
 	if class.Direct != "" {
 		return g.Direct[class.Direct]
@@ -61,7 +61,7 @@
 	return g.Targets
 }
 
-// Start begins all classes. Stop ends them.
+// Start starts the load of all classes, until Stop is called.
 func (g *Generator) Start(classes []Class) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
@@ -70,8 +70,8 @@
 	}
 }
 
-// Stop begins no more requests and waits for the end of those in flight,
-// which their deadlines bound.
+// Stop stops starting requests and waits for those in flight, which end at their
+// deadlines at the latest.
 func (g *Generator) Stop() {
 	g.cancel()
 	g.running.Wait()
@@ -105,7 +105,7 @@
 	if class.Keyed {
 		submission.Key = "key-" + submission.Nonce
 	}
-	if g.inFlight.Add(1) > inFlightBound {
+	if g.inFlight.Add(1) > maxInFlight {
 		g.inFlight.Add(-1)
 		g.Result.add(Attempt{Class: class.Name, Nonce: submission.Nonce, Start: intended, Ending: EndingUnsent})
 		return
@@ -117,8 +117,8 @@
 	})
 }
 
-// submit makes a request, and again as its class says while it has not been
-// answered. Each attempt goes to the next edge.
+// submit sends a request and retries up to the class's number of resubmissions
+// until it is answered. Each attempt goes to the next target.
 func (g *Generator) submit(running context.Context, submission Submission, number int64) {
 	for {
 		targets := g.targets(submission.Class)
@@ -129,7 +129,7 @@
 		if final || submission.Number > submission.Class.Resubmissions || running.Err() != nil {
 			return
 		}
-		time.Sleep(resubmitPause)
+		time.Sleep(resubmitDelay)
 		submission.Number++
 		submission.Start = time.Now()
 		g.Result.begin(submission.Class.Name, submission.Start)
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -15,7 +15,7 @@
 	"sliphead/lab/worker"
 )
 
-// submitTo submits one request to a handler.
+// submitTo submits one request to a server with the given handler.
 func submitTo(t *testing.T, handler http.HandlerFunc) Attempt {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestEndingsOfAttempts(t *testing.T) {
+func TestAttemptEndsByOutcomeHeaderAndBody(t *testing.T) {
 	answerWith := func(kind outcome.Outcome, body string) http.HandlerFunc {
 		return func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set(outcome.Header, string(kind))
@@ -51,7 +51,7 @@
 	must.Eq(t, EndingFailed, cut.Ending)
 }
 
-func TestGeneratorAnswersAreVerifiedAndCountFromTheIntendedStart(t *testing.T) {
+func TestGeneratorRecordsVerifiedAttemptsByIntendedStart(t *testing.T) {
 	back, err := worker.Start(worker.Settings{Name: "w", Listen: "127.0.0.1:0", Slots: 4, Queue: 1000, Connections: 1000})
 	must.NoError(t, err)
 	defer back.Stop(t.Context())
@@ -84,7 +84,7 @@
 	must.SliceEmpty(t, Compare(attempts, back.Journal.Runs()).Violations())
 }
 
-func TestCompareFindsEachKindOfViolation(t *testing.T) {
+func TestCompareReportsEachKindOfViolation(t *testing.T) {
 	attempts := []Attempt{
 		{Nonce: "a", Number: 1, Path: "/p", Ending: EndingNotRun},
 		{Nonce: "b", Number: 1, Path: "/p", Ending: EndingNotRun},
@@ -102,11 +102,11 @@
 		{Nonce: "f", Attempt: "1", Path: "/p"},
 	}
 	audit := Compare(attempts, runs)
-	must.SliceLen(t, 1, audit.RanThoughNot)
-	must.StrContains(t, audit.RanThoughNot[0], "a attempt 1")
-	must.SliceLen(t, 2, audit.RanTwice)
-	must.SliceLen(t, 1, audit.AnsweredNever)
-	must.StrContains(t, audit.AnsweredNever[0], "c attempt 1")
-	must.SliceLen(t, 1, audit.Wrong)
+	must.SliceLen(t, 1, audit.RanDespiteNotRun)
+	must.StrContains(t, audit.RanDespiteNotRun[0], "a attempt 1")
+	must.SliceLen(t, 2, audit.RanMoreThanOnce)
+	must.SliceLen(t, 1, audit.AnsweredWithoutRun)
+	must.StrContains(t, audit.AnsweredWithoutRun[0], "c attempt 1")
+	must.SliceLen(t, 1, audit.WrongResponses)
 	must.SliceLen(t, 5, audit.Violations())
 }
--- a/lab/load/result.go
+++ b/lab/load/result.go
@@ -10,47 +10,47 @@
 	"sliphead/internal/outcome"
 )
 
-// Ending is how an attempt looked to the caller.
+// Ending is the result of an attempt as the caller sees it.
 type Ending string
 
 // The endings of an attempt.
 const (
-	EndingAnswered Ending = Ending(outcome.Answered) // the whole own answer
-	EndingNotRun   Ending = Ending(outcome.NotRun)   // the caller was told that it was not run
-	EndingUnknown  Ending = Ending(outcome.Unknown)  // the caller was told that it may have run
-	EndingFailed   Ending = "failed"                 // cut, timed out or answered without an outcome
-	EndingWrong    Ending = "wrong"                  // an answer passed on as whole that is not, or is another's
-	EndingUnsent   Ending = "unsent"                 // too many requests in flight at the caller
+	EndingAnswered Ending = Ending(outcome.Answered) // complete response to this request
+	EndingNotRun   Ending = Ending(outcome.NotRun)   // reported to the caller as not run
+	EndingUnknown  Ending = Ending(outcome.Unknown)  // reported to the caller as possibly run
+	EndingFailed   Ending = "failed"                 // connection lost, timeout, error of the worker, or response without an outcome
+	EndingWrong    Ending = "wrong"                  // reported as answered, but the response is incomplete or of another request
+	EndingUnsent   Ending = "unsent"                 // not sent, as the caller had too many requests in flight
 )
 
-// Endings lists all endings in the order of reports.
+// Endings lists all endings, in the order used in reports.
 var Endings = []Ending{EndingAnswered, EndingNotRun, EndingUnknown, EndingFailed, EndingWrong, EndingUnsent}
 
-// Attempt is one submission of a request.
+// Attempt is one attempt of a request, with its result.
 type Attempt struct {
 	Class   string        `json:"class"`
 	Nonce   string        `json:"nonce"`
 	Number  int           `json:"attempt"` // from 1
 	Key     string        `json:"key,omitempty"`
-	Once    bool          `json:"once,omitempty"` // may run at most once
+	Once    bool          `json:"once,omitempty"` // may run only once
 	Path    string        `json:"path"`
 	Edge    string        `json:"edge"`
 	Start   time.Time     `json:"start"` // intended
 	Latency time.Duration `json:"latencyNs"`
 	Ending  Ending        `json:"ending"`
 	Status  int           `json:"status,omitempty"`
-	Worker  string        `json:"worker,omitempty"` // that answered
+	Worker  string        `json:"worker,omitempty"` // that sent the response
 	Cause   string        `json:"cause,omitempty"`
 }
 
 // The range and precision of latency histograms, microseconds.
 const (
-	lowestMicros   = 1
-	highestMicros  = int64(10 * time.Minute / time.Microsecond)
-	significantHdr = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Result gathers attempts.
+// Result collects attempts and their latencies. It is safe for concurrent use.
 type Result struct {
 	mutex      sync.Mutex
 	attempts   []Attempt
@@ -58,7 +58,7 @@
 	pending    map[pendingAttempt]int             // attempts that have not ended
 }
 
-// pendingAttempt is what is known of an attempt before it ends.
+// pendingAttempt identifies attempts that have not ended.
 type pendingAttempt struct {
 	class string
 	start time.Time // intended
@@ -68,15 +68,15 @@
 	return &Result{histograms: map[string]*hdrhistogram.Histogram{}, pending: map[pendingAttempt]int{}}
 }
 
-// begin notes that an attempt is under way.
+// begin records the start of an attempt.
 func (r *Result) begin(class string, start time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.pending[pendingAttempt{class, start}]++
 }
 
-// Pending returns how many attempts of a class that were intended to start
-// within [from, to) have not ended.
+// Pending returns the number of attempts of a class with an intended start within
+// [from, to) that have not ended.
 func (r *Result) Pending(class string, from, to time.Time) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -89,9 +89,9 @@
 	return count
 }
 
-// finish records how a begun attempt ended.
+// finish records the end of an attempt that begin recorded.
 func (r *Result) finish(attempt Attempt) {
-	r.add(attempt) // first, so that it is always in one of the two
+	r.add(attempt) // before the removal below, so that a reader finds the attempt in attempts or in pending
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	key := pendingAttempt{attempt.Class, attempt.Start}
@@ -109,20 +109,20 @@
 	}
 	histogram := r.histograms[attempt.Class]
 	if histogram == nil {
-		histogram = hdrhistogram.New(lowestMicros, highestMicros, significantHdr)
+		histogram = hdrhistogram.New(minMicros, maxMicros, significantDigits)
 		r.histograms[attempt.Class] = histogram
 	}
-	_ = histogram.RecordValue(min(attempt.Latency.Microseconds(), highestMicros))
+	_ = histogram.RecordValue(min(attempt.Latency.Microseconds(), maxMicros))
 }
 
-// Attempts returns all attempts that have ended.
+// Attempts returns a copy of all attempts that have ended.
 func (r *Result) Attempts() []Attempt {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return slices.Clone(r.attempts)
 }
 
-// Count returns how many attempts ended so; an empty class counts all classes.
+// Count returns the number of attempts of a class with an ending; an empty class means all classes.
 func (r *Result) Count(class string, ending Ending) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -135,8 +135,8 @@
 	return count
 }
 
-// Quantile returns the latency of a class's answered attempts at a percentile,
-// 0 to 100.
+// Quantile returns a percentile, 0 to 100, of the latency of a class's answered
+// attempts, or 0 if there are none.
 func (r *Result) Quantile(class string, percentile float64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -147,8 +147,8 @@
 	return time.Duration(histogram.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// AnsweredBy counts the workers that answered attempts of a class that were
-// intended to start within [from, to).
+// AnsweredBy returns the number of answered attempts by worker, of the attempts of
+// a class with an intended start within [from, to).
 func (r *Result) AnsweredBy(class string, from, to time.Time) map[string]int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
