--- a/lab/link/datagram.go
+++ b/lab/link/datagram.go
@@ -8,48 +8,48 @@
 )
 
 const (
-	datagramBytes    = 64 << 10
-	datagramsWaiting = 4096 // on their way to one address; more are lost
+	maxDatagramBytes    = 64 << 10
+	maxDelayedDatagrams = 4096 // delayed datagrams to one address; further ones are dropped
 )
 
-// Datagrams forwards datagrams sent to advertised on to real, whose zone is
-// given. It is one way: the receiver answers to the sender's advertised
-// address, which its message names.
+// Datagrams forwards datagrams from the address advertised to the address real,
+// which is in the given zone. It forwards in this direction only: the receiver
+// replies to the advertised address of the sender, which the message contains.
 func (n *Network) Datagrams(advertised, real, zone string) error {
 	target, err := netip.ParseAddrPort(real)
 	if err != nil {
-		return listenFailed(err, real)
+		return listenError(err, real)
 	}
 	local, err := netip.ParseAddrPort(advertised)
 	if err != nil {
-		return listenFailed(err, advertised)
+		return listenError(err, advertised)
 	}
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	if err != nil {
-		return listenFailed(err, advertised)
+		return listenError(err, advertised)
 	}
 	n.onClose(func() { _ = socket.Close() })
-	go n.relay(socket, target, zone)
+	go n.forwardDatagrams(socket, target, zone)
 	return nil
 }
 
-func (n *Network) relay(socket *net.UDPConn, target netip.AddrPort, zone string) {
-	var waiting atomic.Int64
-	buffer := make([]byte, datagramBytes)
+func (n *Network) forwardDatagrams(socket *net.UDPConn, target netip.AddrPort, zone string) {
+	var delayed atomic.Int64
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		count, source, err := socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		conditions := n.Of(Pair{From: n.zoneOf(source.Addr().Unmap()), To: zone})
-		if n.loses(conditions) || waiting.Load() >= datagramsWaiting {
+		conditions := n.ConditionsOf(Pair{From: n.zoneOf(source.Addr().Unmap()), To: zone})
+		if n.drops(conditions) || delayed.Load() >= maxDelayedDatagrams {
 			n.counters.lost.Add(1)
 			continue
 		}
 		data := append([]byte{}, buffer[:count]...)
-		waiting.Add(1)
+		delayed.Add(1)
 		time.AfterFunc(conditions.Delay, func() {
-			defer waiting.Add(-1)
+			defer delayed.Add(-1)
 			if _, err := socket.WriteToUDPAddrPort(data, target); err != nil {
 				n.counters.lost.Add(1)
 				return
@@ -60,6 +60,6 @@
 	}
 }
 
-func (n *Network) loses(conditions Conditions) bool {
+func (n *Network) drops(conditions Conditions) bool {
 	return conditions.Cut || conditions.Loss > 0 && n.random.float64() < conditions.Loss
 }
--- a/lab/link/link_test.go
+++ b/lab/link/link_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	near = "near"
-	far  = "far"
+	senderZone   = "sender"
+	receiverZone = "receiver"
 )
 
 func newNetwork(t *testing.T, conditions Conditions) *Network {
 	t.Helper()
-	network := New(func(netip.Addr) string { return near }, conditions, 1)
+	network := New(func(netip.Addr) string { return senderZone }, conditions, 1)
 	t.Cleanup(network.Close)
 	return network
 }
@@ -33,7 +33,7 @@
 	return listener.Addr().String()
 }
 
-// echoServer sends back what it reads and closes when the caller has.
+// echoServer starts a server that returns what it reads and closes a connection after the client has.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,10 +54,10 @@
 	return listener.Addr().String()
 }
 
-func TestStreamsCarryBytesAndHalfCloseAndStallWhileCut(t *testing.T) {
+func TestStreamForwardsBytesAndHalfCloseAndStallsWhileCut(t *testing.T) {
 	network := newNetwork(t, Conditions{})
 	advertised := freeAddress(t)
-	must.NoError(t, network.Streams(advertised, echoServer(t), far))
+	must.NoError(t, network.Streams(advertised, echoServer(t), receiverZone))
 	connection, err := net.Dial("tcp", advertised)
 	must.NoError(t, err)
 	defer connection.Close()
@@ -70,7 +70,7 @@
 		must.Eq(t, text, string(buffer))
 	}
 	exchange("before")
-	network.Cut(near, far, true)
+	network.Cut(senderZone, receiverZone, true)
 	carried := network.Counts().StreamBytes
 	_, err = connection.Write([]byte("during"))
 	must.NoError(t, err)
@@ -78,7 +78,7 @@
 	_, err = connection.Read(make([]byte, 1))
 	must.Error(t, err)
 	must.Eq(t, carried, network.Counts().StreamBytes)
-	network.Cut(near, far, false)
+	network.Cut(senderZone, receiverZone, false)
 	must.NoError(t, connection.SetReadDeadline(time.Time{}))
 	must.NoError(t, connection.(*net.TCPConn).CloseWrite())
 	rest, err := io.ReadAll(connection)
@@ -86,36 +86,36 @@
 	must.Eq(t, "during", string(rest))
 }
 
-func TestAResetOnOneSideIsPassedOn(t *testing.T) {
+func TestStreamToUnreachableServerIsReset(t *testing.T) {
 	network := newNetwork(t, Conditions{})
 	advertised := freeAddress(t)
-	must.NoError(t, network.Streams(advertised, freeAddress(t), far))
+	must.NoError(t, network.Streams(advertised, freeAddress(t), receiverZone))
 	connection, err := net.Dial("tcp", advertised)
-	if err == nil { // the reset may come before the dial has returned
+	if err == nil { // the reset may arrive before the dial returns
 		_, err = connection.Read(make([]byte, 1))
 		_ = connection.Close()
 	}
 	must.ErrorIs(t, err, syscall.ECONNRESET)
 }
 
-func TestDatagramsPassAndAreLostWhileCut(t *testing.T) {
+func TestDatagramsAreForwardedAndDroppedWhileCut(t *testing.T) {
 	network := newNetwork(t, Conditions{})
 	receiver, err := net.ListenPacket("udp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer receiver.Close()
 	advertised := freeAddress(t)
-	must.NoError(t, network.Datagrams(advertised, receiver.LocalAddr().String(), far))
+	must.NoError(t, network.Datagrams(advertised, receiver.LocalAddr().String(), receiverZone))
 	sender, err := net.Dial("udp", advertised)
 	must.NoError(t, err)
 	defer sender.Close()
 
-	network.Cut(near, far, true)
+	network.Cut(senderZone, receiverZone, true)
 	_, err = sender.Write([]byte("lost"))
 	must.NoError(t, err)
 	for network.Counts().Lost == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	network.Cut(near, far, false)
+	network.Cut(senderZone, receiverZone, false)
 	_, err = sender.Write([]byte("passed"))
 	must.NoError(t, err)
 	buffer := make([]byte, 100)
@@ -124,25 +124,25 @@
 	must.Eq(t, "passed", string(buffer[:count]))
 }
 
-func TestPassWaitsForTheDelayOfThePair(t *testing.T) {
+func TestDeliveryWaitsForTheDelayOfThePair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := New(func(netip.Addr) string { return near }, Conditions{Delay: time.Minute}, 1)
-		pair := Pair{From: near, To: far}
+		network := New(func(netip.Addr) string { return senderZone }, Conditions{Delay: time.Minute}, 1)
+		pair := Pair{From: senderZone, To: receiverZone}
 		network.Set(pair, Conditions{Delay: time.Hour})
 		begin := time.Now()
-		must.True(t, network.pass(context.Background(), pair, begin))
+		must.True(t, network.waitForDelivery(context.Background(), pair, begin))
 		must.Eq(t, time.Hour, time.Since(begin))
-		must.True(t, network.pass(context.Background(), Pair{From: far, To: near}, begin.Add(time.Hour)))
+		must.True(t, network.waitForDelivery(context.Background(), Pair{From: receiverZone, To: senderZone}, begin.Add(time.Hour)))
 		must.Eq(t, time.Hour+time.Minute, time.Since(begin))
 	})
 }
 
-func TestLossFollowsTheShareAndTheSeed(t *testing.T) {
+func TestLossMatchesItsShareAndRepeatsWithItsSeed(t *testing.T) {
 	lost := func(seed uint64) int {
 		network := New(nil, Conditions{}, seed)
 		count := 0
 		for range 10000 {
-			if network.loses(Conditions{Loss: 0.05}) {
+			if network.drops(Conditions{Loss: 0.05}) {
 				count++
 			}
 		}
--- a/lab/link/random.go
+++ b/lab/link/random.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// lockedRandom is a seeded source of random numbers for many goroutines.
+// lockedRandom is a seeded source of random numbers that is safe for concurrent use.
 type lockedRandom struct {
 	mutex  sync.Mutex
 	source *rand.Rand
--- a/lab/link/stream.go
+++ b/lab/link/stream.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	chunkBytes  = 32 << 10 // read at a time
-	chunkQueue  = 64       // chunks on their way in one direction
+	chunkBytes  = 32 << 10 // maximum size of a chunk
+	chunkQueue  = 64       // delayed chunks in one direction
 	dialTimeout = 5 * time.Second
 )
 
@@ -21,26 +21,26 @@
 type stream struct {
 	network *Network
 	pair    Pair
-	near    *net.TCPConn // to the one who dialled
-	far     *net.TCPConn // to the real address
+	client  *net.TCPConn // connection from the caller
+	server  *net.TCPConn // connection to the real address
 	ctx     context.Context
 	cancel  context.CancelFunc
 	mutex   sync.Mutex
 	closed  bool
 }
 
-// chunk is a piece of a stream on its way; empty at the end of the stream.
+// chunk is a part of a stream that waits for its delivery. An empty chunk marks the end of the stream.
 type chunk struct {
 	arrived time.Time
 	data    []byte
 }
 
-// Streams forwards connections made to advertised on to real, whose zone is
-// given.
+// Streams forwards connections from the address advertised to the address real,
+// which is in the given zone.
 func (n *Network) Streams(advertised, real, zone string) error {
 	listener, err := net.Listen("tcp", advertised)
 	if err != nil {
-		return listenFailed(err, advertised)
+		return listenError(err, advertised)
 	}
 	n.onClose(func() { _ = listener.Close() })
 	go func() {
@@ -49,70 +49,70 @@
 			if err != nil {
 				return
 			}
-			go n.forward(connection.(*net.TCPConn), real, zone)
+			go n.forwardStream(connection.(*net.TCPConn), real, zone)
 		}
 	}()
 	return nil
 }
 
-func (n *Network) forward(near *net.TCPConn, real, zone string) {
-	source := near.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()
+func (n *Network) forwardStream(client *net.TCPConn, real, zone string) {
+	source := client.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()
 	pair := Pair{From: n.zoneOf(source), To: zone}
 	ctx, cancel := context.WithCancel(context.Background())
-	connected := &stream{network: n, pair: pair, near: near, ctx: ctx, cancel: cancel}
-	if !n.register(connected) {
-		connected.close()
+	forwarded := &stream{network: n, pair: pair, client: client, ctx: ctx, cancel: cancel}
+	if !n.register(forwarded) {
+		forwarded.close()
 		return
 	}
-	defer n.unregister(connected)
-	defer connected.close()
-	if !n.pass(ctx, pair, time.Now()) {
+	defer n.unregister(forwarded)
+	defer forwarded.close()
+	if !n.waitForDelivery(ctx, pair, time.Now()) {
 		return
 	}
-	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: source.AsSlice()}} // the receiver sees the true sender
-	far, err := dialer.DialContext(ctx, "tcp", real)
+	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: source.AsSlice()}} // so that the server sees the caller's IP address
+	server, err := dialer.DialContext(ctx, "tcp", real)
 	if err != nil {
-		_ = near.SetLinger(0) // the caller sees a reset, as from a host without that listener
+		_ = client.SetLinger(0) // reset the connection, as a host without a listener does
 		return
 	}
-	if !connected.join(far.(*net.TCPConn)) {
+	if !forwarded.attachServer(server.(*net.TCPConn)) {
 		return
 	}
 	n.counters.streams.Add(1)
-	connected.run(pair)
+	forwarded.copyBothWays(pair)
 }
 
-func (n *Network) register(connected *stream) bool {
+func (n *Network) register(added *stream) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.connected[connected] = struct{}{}
+	n.streams[added] = struct{}{}
 	return !n.closed
 }
 
-func (n *Network) unregister(connected *stream) {
+func (n *Network) unregister(removed *stream) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	delete(n.connected, connected)
+	delete(n.streams, removed)
 }
 
-// run carries both directions until both have ended or one has failed.
-func (s *stream) run(pair Pair) {
+// copyBothWays copies both directions until both have ended or one has failed.
+func (s *stream) copyBothWays(pair Pair) {
 	back := Pair{From: pair.To, To: pair.From}
 	var directions sync.WaitGroup
-	directions.Go(func() { s.carry(s.near, s.far, pair) })
-	directions.Go(func() { s.carry(s.far, s.near, back) })
+	directions.Go(func() { s.copyOneWay(s.client, s.server, pair) })
+	directions.Go(func() { s.copyOneWay(s.server, s.client, back) })
 	directions.Wait()
 }
 
-// join sets the far side and reports whether the stream is still open.
-func (s *stream) join(far *net.TCPConn) bool {
+// attachServer sets the connection to the server and reports whether the stream is still open. If not, it closes the connection.
+func (s *stream) attachServer(server *net.TCPConn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
-		_ = far.Close()
+		_ = server.Close()
 		return false
 	}
-	s.far = far
+	s.server = server
 	return true
 }
 
@@ -124,15 +124,15 @@
 	}
 	s.closed = true
 	s.cancel()
-	_ = s.near.Close()
-	if s.far != nil {
-		_ = s.far.Close()
+	_ = s.client.Close()
+	if s.server != nil {
+		_ = s.server.Close()
 	}
 }
 
-// carry moves one direction. Its end is passed on as a half close; a failure
-// ends the whole stream.
-func (s *stream) carry(from, to *net.TCPConn, pair Pair) {
+// copyOneWay copies one direction. The end of the stream is forwarded as a half
+// close; a failure resets the whole stream.
+func (s *stream) copyOneWay(from, to *net.TCPConn, pair Pair) {
 	queue := make(chan chunk, chunkQueue)
 	var reading sync.WaitGroup
 	reading.Go(func() { s.read(from, queue) })
@@ -171,7 +171,7 @@
 
 func (s *stream) write(to *net.TCPConn, queue <-chan chunk, pair Pair) {
 	for piece := range queue {
-		if !s.network.pass(s.ctx, pair, piece.arrived) {
+		if !s.network.waitForDelivery(s.ctx, pair, piece.arrived) {
 			continue
 		}
 		if len(piece.data) == 0 {
@@ -185,18 +185,19 @@
 	}
 }
 
-// reset ends both sides at once, as a lost connection does.
+// reset closes both connections with a TCP reset, as when a connection is lost.
 func (s *stream) reset() {
-	_ = s.near.SetLinger(0)
-	if s.far != nil {
-		_ = s.far.SetLinger(0)
+	_ = s.client.SetLinger(0)
+	if s.server != nil {
+		_ = s.server.SetLinger(0)
 	}
 	s.close()
 }
 
-// pass waits until what arrived then may be delivered: after the delay, and
-// once the pair is not cut. It reports false when the context has ended.
-func (n *Network) pass(ctx context.Context, pair Pair, arrived time.Time) bool {
+// waitForDelivery waits until data that arrived at a given time may be delivered:
+// when the delay has passed and the pair is not cut. It returns false if the
+// context ends first.
+func (n *Network) waitForDelivery(ctx context.Context, pair Pair, arrived time.Time) bool {
 	for {
 		conditions, changed := n.watch(pair)
 		if conditions.Cut {
