--- a/lab/latency/latency.go
+++ b/lab/latency/latency.go
@@ -1,8 +1,8 @@
-// Package latency measures what the two hops through an edge and a worker's
-// node add to a call. Requests go in alternating spans of one run directly to
-// the stand-in worker and through the nodes, all real processes without link
-// delays. Load is open-loop with exponential gaps; latency counts from the
-// intended start, so that stalls are not omitted.
+// Package latency measures the latency that the two hops through an edge node and
+// a worker's node add to a call. In alternating spans of one run, requests go
+// directly to the stand-in worker and through the nodes. All are real processes
+// without link delays. The load is open-loop with exponential interarrival times;
+// latency is measured from the intended start, so that it includes stalls.
 package latency
 
 import (
@@ -19,19 +19,19 @@
 	"sliphead/lab/mesh"
 )
 
-// Options say what to measure.
+// Options configures a measurement.
 type Options struct {
-	Mesh      mesh.Options // links are left out
-	Former    string       // a node program to compare with in the same run, "" for none
-	Rates     []float64    // requests a second, measured one after the other
+	Mesh      mesh.Options // always used with WithoutLinks set
+	Former    string       // path of another node program to compare with in the same run, "" for none
+	Rates     []float64    // requests per second, measured one after the other
 	Span      time.Duration
-	Spans     int // of each path for each rate
+	Spans     int // number of spans for each path and rate
 	RunMillis float64
 	Slots     int
 	Seed      uint64
 }
 
-// Path is a way to the worker.
+// Path is a route of requests to the worker.
 type Path string
 
 // The paths compared.
@@ -39,24 +39,25 @@
 	Direct  Path = "direct"
 	Through Path = "through"
 	Former  Path = "former" // through nodes of another program
-	Relayed Path = "relay"  // through two processes that only pass bytes on
+	Relayed Path = "relay"  // through two processes that only forward bytes
 )
 
-// Figures are the result at one rate.
+// Figures holds the results at one rate.
 type Figures struct {
 	Rate          float64
 	Requests      int          // of each path
-	Wrong         int          // answers passed on as whole that are not, or are another's
-	Failed        map[Path]int // requests that got no whole answer
+	Wrong         int          // responses reported as answered that were incomplete or of another request, on all paths
+	Failed        map[Path]int // requests without a complete response
 	Quantiles     map[Path]Quantiles
-	CPUPerRequest map[Path]time.Duration // of both nodes together, less what they use without requests
+	CPUPerRequest map[Path]time.Duration // of both nodes together, without their idle use
 }
 
-// Quantiles are latencies of answered requests.
+// Quantiles holds latency percentiles of answered requests.
 type Quantiles struct{ P50, P99 time.Duration }
 
-// Run starts a mesh of one edge and one worker, and one more for the program
-// to compare with, and measures each rate.
+// Run starts a mesh of one edge node and one worker, and a second one if there is
+// another program to compare with, and measures each rate. On an error it returns
+// the figures of the rates that are complete.
 func Run(ctx context.Context, options Options) ([]Figures, error) {
 	run := &runner{options: options, meshes: map[Path]*mesh.Mesh{}}
 	defer run.close()
@@ -89,18 +90,18 @@
 	return all, nil
 }
 
-// runner holds a run's meshes and caller.
+// runner is the state of a measurement.
 type runner struct {
-	options Options
-	meshes  map[Path]*mesh.Mesh
-	paths   []Path
-	caller  *load.Caller
-	number  int
-	relay   string   // address of the first relay
-	relays  []func() // ends them
+	options           Options
+	meshes            map[Path]*mesh.Mesh
+	paths             []Path
+	caller            *load.Caller
+	lastRequestNumber int
+	relayAddress      string   // address of the first relay, host:port
+	relayStops        []func() // each stops one relay
 }
 
-// start starts a mesh and waits until requests get through it.
+// start starts a mesh and waits until a request through it is answered.
 func (r *runner) start(ctx context.Context, path Path, options mesh.Options) error {
 	options.WithoutLinks = true
 	started, err := mesh.Start(plan(r.options), options)
@@ -121,7 +122,7 @@
 	if r.caller != nil {
 		r.caller.Close()
 	}
-	for _, end := range r.relays {
+	for _, end := range r.relayStops {
 		end()
 	}
 	for path, started := range r.meshes {
@@ -134,26 +135,26 @@
 func (r *runner) class() load.Class {
 	return load.Class{
 		Name: "price-check", Method: "GET", Path: routePath + "/a4",
-		AnswerBytes: answerBytes, RunMillis: r.options.RunMillis,
+		AnswerBytes: responseBytes, RunMillis: r.options.RunMillis,
 	}
 }
 
-const answerBytes = 500
+const responseBytes = 500
 
-// target returns where requests of a path go.
+// target returns the target of requests on a path.
 func (r *runner) target(path Path) load.Target {
 	if path == Direct {
 		return load.Target{Name: string(Direct), Address: r.meshes[Direct].Workers[0].Address, Direct: true}
 	}
 	if path == Relayed {
-		return load.Target{Name: string(Relayed), Address: r.relay, Direct: true}
+		return load.Target{Name: string(Relayed), Address: r.relayAddress, Direct: true}
 	}
 	edge := r.meshes[path].Edges()[0]
 	return load.Target{Name: edge.Name, Address: edge.Public}
 }
 
-// waitRouted waits until a request gets through, as the worker must first be
-// seen as ready.
+// waitRouted retries a request until it is answered: the nodes route requests only
+// after they have observed that the worker is ready.
 func (r *runner) waitRouted(ctx context.Context, path Path) error {
 	const pause = 50 * time.Millisecond
 	for {
@@ -164,20 +165,20 @@
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
-			return fault.New(fault.Unready, "read the nodes' logs in the lab's directory", "no request got through: %s", attempt.Cause)
+			return fault.New(fault.Unready, "read the nodes' logs in the lab's directory", "no request was answered: %s", attempt.Cause)
 		}
 	}
 }
 
-// measure alternates spans of all paths at a rate. The first span of each
-// opens connections and does not count.
+// measure measures a rate in spans that alternate between all paths, in random
+// order. The first span of each path opens connections and is not counted.
 func (r *runner) measure(ctx context.Context, rate float64) (Figures, error) {
 	figures := Figures{Rate: rate, Quantiles: map[Path]Quantiles{}, Failed: map[Path]int{}, CPUPerRequest: map[Path]time.Duration{}}
 	tallies := map[Path]*tally{}
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(rate)))
 	for _, path := range r.paths {
 		tallies[path] = newTally()
-		if err := r.span(ctx, path, rate, random, newTally()); err != nil {
+		if err := r.runSpan(ctx, path, rate, random, newTally()); err != nil {
 			return figures, err
 		}
 	}
@@ -185,7 +186,7 @@
 	for range r.options.Spans {
 		random.Shuffle(len(paths), func(i, j int) { paths[i], paths[j] = paths[j], paths[i] })
 		for _, path := range paths {
-			if err := r.span(ctx, path, rate, random, tallies[path]); err != nil {
+			if err := r.runSpan(ctx, path, rate, random, tallies[path]); err != nil {
 				return figures, err
 			}
 		}
@@ -200,7 +201,7 @@
 	return figures, nil
 }
 
-// Fields returns the figures for a result line.
+// Fields returns the figures as the fields of a result line.
 func (f Figures) Fields() log.Fields {
 	direct := f.Quantiles[Direct]
 	fields := log.Fields{
--- a/lab/latency/mesh.go
+++ b/lab/latency/mesh.go
@@ -19,7 +19,7 @@
 	routePath = "/prices"
 )
 
-// plan is a mesh of one edge and one worker in one zone.
+// plan returns the plan of a mesh of one edge node and one worker in one zone.
 func plan(options Options) *mesh.Plan {
 	return &mesh.Plan{
 		Name:         "latency",
@@ -43,15 +43,15 @@
 	}
 }
 
-// connections is the bound on the worker's connections. It has to do for those
-// of the callers, the relays and the node together.
+// connections limits the worker's open connections. It must suffice for those of
+// the callers, the relays and the node together.
 const connections = 2000
 
-// nodesCPU returns the processor time that the nodes of a path have used.
+// nodesCPU returns the total CPU time that the nodes of a path have used.
 func (r *runner) nodesCPU(path Path) (time.Duration, error) {
 	var total time.Duration
 	for _, node := range r.meshes[path].Nodes {
-		used, err := cpuOf(node.Admin)
+		used, err := readCPU(node.Admin)
 		if err != nil {
 			return 0, err
 		}
@@ -60,15 +60,15 @@
 	return total, nil
 }
 
-// cpuMetric is the processor time of a process, seconds.
+// cpuMetric is the name, and the space after it, of the metric of a process's CPU time in seconds.
 const cpuMetric = "process_cpu_seconds_total "
 
-func cpuOf(admin string) (time.Duration, error) {
+func readCPU(admin string) (time.Duration, error) {
 	const remedy = "read the node's log in the lab's directory"
 	client := http.Client{Timeout: 10 * time.Second}
 	response, err := client.Get("http://" + admin + "/metrics")
 	if err != nil {
-		return 0, fault.Wrap(err, fault.Unready, remedy, "ask %s for its metrics", admin)
+		return 0, fault.Wrap(err, fault.Unready, remedy, "request the metrics of %s", admin)
 	}
 	defer response.Body.Close()
 	scanner := bufio.NewScanner(response.Body)
--- a/lab/latency/relay_test.go
+++ b/lab/latency/relay_test.go
@@ -16,20 +16,20 @@
 	return listener
 }
 
-// Bytes and the end of a stream pass both ways.
-func TestRelayPassesBytesBothWays(t *testing.T) {
-	far, near := listen(t), listen(t)
+// A relay must forward bytes and the end of the stream in both directions.
+func TestRelayForwardsBytesAndEndOfStreamBothWays(t *testing.T) {
+	server, relayListener := listen(t), listen(t)
 	go func() {
-		conn, err := far.Accept()
+		conn, err := server.Accept()
 		if err == nil {
 			_, _ = io.Copy(conn, conn)
 			_ = conn.Close()
 		}
 	}()
-	running, end := context.WithCancel(t.Context())
+	running, stop := context.WithCancel(t.Context())
 	ended := make(chan error)
-	go func() { ended <- Relay(running, near, far.Addr().String()) }()
-	conn, err := net.Dial("tcp", near.Addr().String())
+	go func() { ended <- Relay(running, relayListener, server.Addr().String()) }()
+	conn, err := net.Dial("tcp", relayListener.Addr().String())
 	must.NoError(t, err)
 	defer conn.Close()
 	_, err = io.WriteString(conn, "price=125")
@@ -38,6 +38,6 @@
 	text, err := io.ReadAll(conn)
 	must.NoError(t, err)
 	must.Eq(t, "price=125", string(text))
-	end()
+	stop()
 	must.NoError(t, <-ended)
 }
--- a/lab/latency/span.go
+++ b/lab/latency/span.go
@@ -12,7 +12,7 @@
 	"sliphead/lab/load"
 )
 
-// tally gathers the requests of one path at one rate.
+// tally accumulates the results of the requests on one path at one rate.
 type tally struct {
 	mutex     sync.Mutex
 	histogram *hdrhistogram.Histogram // microseconds, of answered requests
@@ -25,12 +25,12 @@
 
 // The range and precision of the histograms, microseconds.
 const (
-	highestMicros  = int64(time.Minute / time.Microsecond)
-	significantHdr = 3
+	maxMicros         = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 func newTally() *tally {
-	return &tally{histogram: hdrhistogram.New(1, highestMicros, significantHdr)}
+	return &tally{histogram: hdrhistogram.New(1, maxMicros, significantDigits)}
 }
 
 func (t *tally) add(attempt load.Attempt) {
@@ -39,7 +39,7 @@
 	t.requests++
 	switch attempt.Ending {
 	case load.EndingAnswered:
-		_ = t.histogram.RecordValue(min(attempt.Latency.Microseconds(), highestMicros))
+		_ = t.histogram.RecordValue(min(attempt.Latency.Microseconds(), maxMicros))
 	case load.EndingWrong:
 		t.wrong++
 	default:
@@ -54,8 +54,8 @@
 	return Quantiles{P50: at(50), P99: at(99)}
 }
 
-// cpuPerRequest is the nodes' time for a request through them, less their time
-// while requests passed them by.
+// cpuPerRequest returns the CPU time that the nodes use for a request through
+// them. Their idle use, measured during the direct spans, is subtracted.
 func cpuPerRequest(through, direct *tally) time.Duration {
 	if through == direct || through.requests == 0 || direct.elapsed == 0 {
 		return 0
@@ -65,19 +65,19 @@
 }
 
 func (r *runner) submission(path Path, intended time.Time) load.Submission {
-	r.number++
+	r.lastRequestNumber++
 	return load.Submission{
 		Class:  r.class(),
-		Nonce:  fmt.Sprintf("%s-%d", path, r.number),
+		Nonce:  fmt.Sprintf("%s-%d", path, r.lastRequestNumber),
 		Number: 1,
 		Target: r.target(path),
 		Start:  intended,
 	}
 }
 
-// span sends requests of one path at their intended times for the length of a
-// span and waits for their ends.
-func (r *runner) span(ctx context.Context, path Path, rate float64, random *rand.Rand, counted *tally) error {
+// runSpan sends requests on one path at their intended times for the length of a
+// span, waits until they have ended, and adds their results to counted.
+func (r *runner) runSpan(ctx context.Context, path Path, rate float64, random *rand.Rand, counted *tally) error {
 	before, err := r.nodesCPU(path)
 	if err != nil {
 		return err
--- a/lab/latency/span_test.go
+++ b/lab/latency/span_test.go
@@ -9,7 +9,7 @@
 	"sliphead/lab/load"
 )
 
-func TestTallyTellsEndingsApart(t *testing.T) {
+func TestTallyCountsWrongAndFailedRequestsSeparately(t *testing.T) {
 	counted := newTally()
 	for _, ending := range []load.Ending{load.EndingAnswered, load.EndingWrong, load.EndingUnknown, load.EndingFailed} {
 		counted.add(load.Attempt{Ending: ending, Latency: 3 * time.Millisecond})
@@ -21,8 +21,9 @@
 	must.Between(t, 2990*time.Microsecond, counted.quantiles().P99, 3010*time.Microsecond)
 }
 
-// What the nodes use while requests pass them by is not counted.
-func TestCPUPerRequestLeavesIdleUseOut(t *testing.T) {
+// The CPU time that the nodes use during direct spans must not count as the cost of
+// requests.
+func TestCPUPerRequestExcludesIdleUse(t *testing.T) {
 	through := &tally{requests: 100, cpu: 30 * time.Millisecond, elapsed: 2 * time.Second}
 	direct := &tally{requests: 100, cpu: 5 * time.Millisecond, elapsed: time.Second}
 	must.Eq(t, 200*time.Microsecond, cpuPerRequest(through, direct))
