--- a/lab/experiment/actions.go
+++ b/lab/experiment/actions.go
@@ -28,8 +28,8 @@
 		ActionPublish:          publish,
 		ActionPublishBad:       publishBad,
 		ActionSource:           failSource,
-		ActionStale:            func(_ context.Context, r *run, _ Step) error { return r.mesh.Source.Stale(1) },
-		ActionFresh:            func(_ context.Context, r *run, _ Step) error { r.mesh.Source.Fresh(); return nil },
+		ActionStale:            func(_ context.Context, r *run, _ Step) error { return r.mesh.Source.PinRevision(1) },
+		ActionFresh:            func(_ context.Context, r *run, _ Step) error { r.mesh.Source.UnpinRevision(); return nil },
 		ActionSecret:           setSecret,
 		ActionKill:             onNodes(func(node *mesh.Node) error { node.Kill(); return nil }),
 		ActionStart:            onNodes(startNode),
@@ -161,7 +161,7 @@
 	if !mode.Valid() {
 		return fault.New(fault.Settings, "use a mode of lab/source", "unknown mode %q", step.Mode)
 	}
-	r.mesh.Source.Fail(mode)
+	r.mesh.Source.SetMode(mode)
 	return nil
 }
 
--- a/lab/source/mode.go
+++ b/lab/source/mode.go
@@ -5,24 +5,24 @@
 	"strconv"
 )
 
-// Mode is a way in which the source fails.
+// Mode is a kind of failure that the source simulates.
 type Mode string
 
-// The ways in which the source fails.
+// The modes of the source.
 const (
 	ModeHealthy   Mode = ""
-	ModeDown      Mode = "down"      // connections are cut without an answer
-	ModeError     Mode = "500"       // answers status 500
-	ModeHTML      Mode = "html"      // answers status 200 with an HTML page
-	ModeHalf      Mode = "half"      // cuts the connection after half a document
-	ModeHang      Mode = "hang"      // never answers
-	ModeOversized Mode = "oversized" // answers with an endless document
+	ModeDown      Mode = "down"      // closes connections without a response
+	ModeError     Mode = "500"       // responds with status 500
+	ModeHTML      Mode = "html"      // responds with status 200 and an HTML page
+	ModeHalf      Mode = "half"      // closes the connection after half of the body
+	ModeHang      Mode = "hang"      // does not respond until the mode changes
+	ModeOversized Mode = "oversized" // responds with a body of oversizedBytes
 )
 
-// oversizedBytes is where the endless document does end.
+// oversizedBytes is the size of the body under ModeOversized, meant to exceed every limit of a reader.
 const oversizedBytes = 256 << 20
 
-// Valid reports whether the mode is known.
+// Valid reports whether m is one of the modes above.
 func (m Mode) Valid() bool {
 	switch m {
 	case ModeHealthy, ModeDown, ModeError, ModeHTML, ModeHalf, ModeHang, ModeOversized:
@@ -31,9 +31,9 @@
 	return false
 }
 
-// misbehave answers the request in the way of the current mode and reports
-// whether it did.
-func (s *Service) misbehave(writer http.ResponseWriter, request *http.Request) bool {
+// simulateFailure responds to the request as the current mode requires. It returns
+// false if the request is to be served, under ModeHealthy and ModeHalf.
+func (s *Service) simulateFailure(writer http.ResponseWriter, request *http.Request) bool {
 	s.mutex.Lock()
 	mode := s.mode
 	s.mutex.Unlock()
@@ -51,12 +51,12 @@
 	case ModeOversized:
 		writeOversized(writer)
 	default:
-		return false // half a document is cut in writeJSON
+		return false // writeJSON implements ModeHalf
 	}
 	return true
 }
 
-// hang waits until the reader leaves or the mode changes.
+// hang waits until the reader disconnects or the mode changes.
 func (s *Service) hang(request *http.Request) {
 	for {
 		s.mutex.Lock()
@@ -85,7 +85,7 @@
 	}
 }
 
-// writeJSON writes a body, or half of it and a cut connection.
+// writeJSON writes a JSON body. Under ModeHalf it writes half of it and closes the connection.
 func (s *Service) writeJSON(writer http.ResponseWriter, body []byte) {
 	s.mutex.Lock()
 	half := s.mode == ModeHalf
--- a/lab/source/source.go
+++ b/lab/source/source.go
@@ -1,6 +1,6 @@
-// Package source is a stand-in for the platform's configuration service. It
-// can only be read; the lab changes it in process. It can fail in the ways in
-// which such services fail.
+// Package source implements a stand-in for the platform's configuration service.
+// Over HTTP it is read-only; the lab publishes from within the process. It can
+// simulate the typical failures of such services.
 package source
 
 import (
@@ -18,32 +18,32 @@
 	"sliphead/internal/fault"
 )
 
-// Paths served.
+// The paths of the configuration and, as a prefix, of secrets.
 const (
 	PathConfiguration = "/v1/configuration"
 	PathSecrets       = "/v1/secrets/"
 )
 
-// HeaderRequestNode is the request header in which a node may name itself.
+// HeaderRequestNode is the request header in which a node may send its name.
 const HeaderRequestNode = "Sliphead-Node"
 
-// Served is the body of a configuration answer.
-type Served struct {
+// Configuration is a published revision. It is the body of a configuration response.
+type Configuration struct {
 	Revision uint64          `json:"revision"`
 	Document json.RawMessage `json:"document"`
 }
 
-// Counts are what was asked of the source since the last ResetCounts.
+// Counts holds the number of requests and their readers since the last ResetCounts.
 type Counts struct {
 	Requests int
-	Readers  []string // distinct readers, by node name or else by IP address
+	Readers  []string // distinct readers: node names, or IP addresses of readers that send none
 }
 
-// Service is the stand-in. Its zero value is not usable; call New.
+// Service is the stand-in. Its zero value is not usable; call New. It is safe for concurrent use.
 type Service struct {
 	mutex    sync.Mutex
-	history  []Served // ascending revisions; the last is the newest
-	pinned   *Served  // served instead of the newest, when the source is stale
+	history  []Configuration // ascending revisions; the last is the newest
+	pinned   *Configuration  // served instead of the newest; nil for none
 	secrets  map[string]string
 	mode     Mode
 	changed  chan struct{} // closed and replaced on each change
@@ -51,12 +51,12 @@
 	readers  map[string]struct{}
 }
 
-// New returns a source that serves no configuration yet.
+// New returns a source without any published configuration.
 func New() *Service {
 	return &Service{secrets: map[string]string{}, changed: make(chan struct{}), readers: map[string]struct{}{}}
 }
 
-// Publish serves a document under the next revision, which it returns.
+// Publish publishes a document and returns its revision.
 func (s *Service) Publish(document *declaration.Document) (uint64, error) {
 	encoded, err := json.Marshal(document)
 	if err != nil {
@@ -65,23 +65,23 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	revision := s.newest().Revision + 1
-	s.history = append(s.history, Served{Revision: revision, Document: encoded})
-	s.announce()
+	s.history = append(s.history, Configuration{Revision: revision, Document: encoded})
+	s.notifyChanged()
 	return revision, nil
 }
 
-// PublishRaw serves bytes that need not be a valid document under the next
-// revision, which it returns.
+// PublishRaw publishes JSON that need not be a valid document and returns its
+// revision.
 func (s *Service) PublishRaw(document json.RawMessage) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	revision := s.newest().Revision + 1
-	s.history = append(s.history, Served{Revision: revision, Document: document})
-	s.announce()
+	s.history = append(s.history, Configuration{Revision: revision, Document: document})
+	s.notifyChanged()
 	return revision
 }
 
-// Equivocate serves another document under the newest revision.
+// Equivocate replaces the document of the newest revision. It returns an error if nothing is published.
 func (s *Service) Equivocate(document *declaration.Document) error {
 	encoded, err := json.Marshal(document)
 	if err != nil {
@@ -90,36 +90,36 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.history) == 0 {
-		return fault.New(fault.Source, "publish a document first", "nothing is published to equivocate about")
+		return fault.New(fault.Source, "publish a document first", "no revision is published whose document could be replaced")
 	}
 	s.history[len(s.history)-1].Document = encoded
-	s.announce()
+	s.notifyChanged()
 	return nil
 }
 
-// Stale makes the source serve an old revision until Fresh is called.
-func (s *Service) Stale(revision uint64) error {
+// PinRevision makes the source serve an old revision until UnpinRevision is called.
+func (s *Service) PinRevision(revision uint64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, served := range s.history {
 		if served.Revision == revision {
 			s.pinned = &served
-			s.announce()
+			s.notifyChanged()
 			return nil
 		}
 	}
 	return fault.New(fault.Source, "name a revision that was published", "revision %d was never published", revision)
 }
 
-// Fresh ends Stale.
-func (s *Service) Fresh() {
+// UnpinRevision makes the source serve the newest revision again.
+func (s *Service) UnpinRevision() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.pinned = nil
-	s.announce()
+	s.notifyChanged()
 }
 
-// SetSecret serves a secret's value; an empty value removes the secret.
+// SetSecret sets the value of a secret; an empty value removes the secret.
 func (s *Service) SetSecret(name, value string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -130,12 +130,12 @@
 	s.secrets[name] = value
 }
 
-// Fail sets how the source fails from now on, also for waiting readers.
-func (s *Service) Fail(mode Mode) {
+// SetMode sets the mode. It also applies to waiting long polls.
+func (s *Service) SetMode(mode Mode) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.mode = mode
-	s.announce()
+	s.notifyChanged()
 }
 
 // Revision returns the newest published revision, 0 for none.
@@ -145,7 +145,7 @@
 	return s.newest().Revision
 }
 
-// Counts returns what was asked so far.
+// Counts returns the counts since the last ResetCounts. The readers are in no order.
 func (s *Service) Counts() Counts {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -156,7 +156,7 @@
 	return counts
 }
 
-// ResetCounts starts counting anew.
+// ResetCounts sets the counts to zero.
 func (s *Service) ResetCounts() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -165,15 +165,15 @@
 }
 
 // newest returns the newest published configuration. Callers hold the mutex.
-func (s *Service) newest() Served {
+func (s *Service) newest() Configuration {
 	if len(s.history) == 0 {
-		return Served{}
+		return Configuration{}
 	}
 	return s.history[len(s.history)-1]
 }
 
-// announce wakes waiting readers. Callers hold the mutex.
-func (s *Service) announce() {
+// notifyChanged wakes waiting long polls. Callers hold the mutex.
+func (s *Service) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -185,7 +185,7 @@
 		http.Error(writer, "this service can only be read", http.StatusMethodNotAllowed)
 		return
 	}
-	if s.misbehave(writer, request) {
+	if s.simulateFailure(writer, request) {
 		return
 	}
 	if request.URL.Path == PathConfiguration {
@@ -206,7 +206,7 @@
 	s.readers[reader] = struct{}{}
 }
 
-// maxWait bounds a long poll.
+// maxWait limits the duration of a long poll.
 const maxWait = time.Minute
 
 func (s *Service) serveConfiguration(writer http.ResponseWriter, request *http.Request) {
@@ -215,7 +215,7 @@
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		served, changed := s.current()
+		served, changed := s.currentConfiguration()
 		tag := entityTag(served)
 		if served.Revision > 0 && request.Header.Get("If-None-Match") != tag {
 			s.writeConfiguration(writer, request, served, tag)
@@ -223,7 +223,7 @@
 		}
 		select {
 		case <-changed:
-			if s.misbehave(writer, request) {
+			if s.simulateFailure(writer, request) {
 				return
 			}
 		case <-request.Context().Done():
@@ -235,7 +235,7 @@
 	}
 }
 
-func writeUnchanged(writer http.ResponseWriter, served Served, tag string) {
+func writeUnchanged(writer http.ResponseWriter, served Configuration, tag string) {
 	if served.Revision == 0 {
 		http.Error(writer, "no configuration is published yet", http.StatusNotFound)
 		return
@@ -244,7 +244,7 @@
 	writer.WriteHeader(http.StatusNotModified)
 }
 
-func (s *Service) current() (Served, <-chan struct{}) {
+func (s *Service) currentConfiguration() (Configuration, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.pinned != nil {
@@ -253,11 +253,11 @@
 	return s.newest(), s.changed
 }
 
-func entityTag(served Served) string {
+func entityTag(served Configuration) string {
 	return fmt.Sprintf(`"%d-%x"`, served.Revision, xxhash.Sum64(served.Document))
 }
 
-func (s *Service) writeConfiguration(writer http.ResponseWriter, request *http.Request, served Served, tag string) {
+func (s *Service) writeConfiguration(writer http.ResponseWriter, request *http.Request, served Configuration, tag string) {
 	body, err := json.Marshal(served)
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusInternalServerError)
--- a/lab/source/source_test.go
+++ b/lab/source/source_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestLongPollAnswersOnAChange(t *testing.T) {
+func TestLongPollRespondsToAPublication(t *testing.T) {
 	service, get := serve(t)
 	_, err := service.Publish(&declaration.Document{Epoch: 1})
 	must.NoError(t, err)
@@ -43,21 +43,21 @@
 	must.NoError(t, err)
 	must.Eq(t, http.StatusNotModified, unchanged.StatusCode)
 
-	answered := make(chan Served)
+	polled := make(chan Configuration)
 	go func() {
-		var served Served
+		var served Configuration
 		_, body, _ := get(PathConfiguration+"?wait=60", tag)
 		_ = json.Unmarshal(body, &served)
-		answered <- served
+		polled <- served
 	}()
 	_, err = service.Publish(&declaration.Document{Epoch: 2})
 	must.NoError(t, err)
-	must.Eq(t, 2, (<-answered).Revision)
+	must.Eq(t, 2, (<-polled).Revision)
 	must.Eq(t, 3, service.Counts().Requests)
 	must.SliceLen(t, 1, service.Counts().Readers)
 }
 
-func TestSecretsAppearAndGo(t *testing.T) {
+func TestSecretIsServedUntilItsRemoval(t *testing.T) {
 	service, get := serve(t)
 	service.SetSecret("till", "value")
 	_, body, err := get(PathSecrets+"till", "")
@@ -69,53 +69,53 @@
 	must.Eq(t, http.StatusNotFound, response.StatusCode)
 }
 
-func TestStaleServesAnOldRevisionUntilFresh(t *testing.T) {
+func TestPinnedRevisionIsServedUntilUnpinned(t *testing.T) {
 	service, get := serve(t)
 	for epoch := range uint64(3) {
 		_, err := service.Publish(&declaration.Document{Epoch: epoch})
 		must.NoError(t, err)
 	}
 	revisionNow := func() uint64 {
-		var served Served
+		var served Configuration
 		_, body, err := get(PathConfiguration, "")
 		must.NoError(t, err)
 		must.NoError(t, json.Unmarshal(body, &served))
 		return served.Revision
 	}
-	must.NoError(t, service.Stale(1))
+	must.NoError(t, service.PinRevision(1))
 	must.Eq(t, 1, revisionNow())
-	service.Fresh()
+	service.UnpinRevision()
 	must.Eq(t, 3, revisionNow())
-	must.ErrorContains(t, service.Stale(9), "never published")
+	must.ErrorContains(t, service.PinRevision(9), "never published")
 }
 
-func TestEachModeFailsInItsWay(t *testing.T) {
+func TestEachModeSimulatesItsFailure(t *testing.T) {
 	service, get := serve(t)
 	_, err := service.Publish(&declaration.Document{Epoch: 1})
 	must.NoError(t, err)
 
-	service.Fail(ModeDown)
+	service.SetMode(ModeDown)
 	_, _, err = get(PathConfiguration, "")
 	must.Error(t, err)
-	service.Fail(ModeHalf)
+	service.SetMode(ModeHalf)
 	_, _, err = get(PathConfiguration, "")
 	must.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	service.Fail(ModeError)
+	service.SetMode(ModeError)
 	response, _, err := get(PathConfiguration, "")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusInternalServerError, response.StatusCode)
-	service.Fail(ModeHTML)
+	service.SetMode(ModeHTML)
 	response, body, err := get(PathConfiguration, "")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode)
 	must.False(t, json.Valid(body))
 
-	service.Fail(ModeHang)
+	service.SetMode(ModeHang)
 	ended := make(chan error)
 	go func() {
 		_, _, err := get(PathConfiguration, "")
 		ended <- err
 	}()
-	service.Fail(ModeHealthy)
+	service.SetMode(ModeHealthy)
 	<-ended
 }
