--- a/lab/latency/relay.go
+++ b/lab/latency/relay.go
@@ -21,7 +21,7 @@
 			return nil
 		}
 		if err != nil {
-			return fault.Wrap(err, fault.Internal, "end other programs that hold many files", "accept on %s", listener.Addr())
+			return fault.Wrap(err, fault.Internal, "stop other programs that hold many open files", "accept on %s", listener.Addr())
 		}
 		go forward(client, to)
 	}
--- a/lab/machines/machines.go
+++ b/lab/machines/machines.go
@@ -1,5 +1,5 @@
-// Package machines is a stand-in for the platform's list of live and leaving
-// machines. The list lags behind the truth by a setting.
+// Package machines implements a stand-in for the platform's list of live and
+// leaving machines. Changes become visible to readers after a configurable lag.
 package machines
 
 import (
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Path is where the list is served.
+// Path is the URL path of the list.
 const Path = "/v1/machines"
 
-// State is what the platform says of a machine.
+// State is the state of a machine as the platform reports it.
 type State string
 
 // The states of a machine.
@@ -32,33 +32,33 @@
 	State   State  `json:"state"`
 }
 
-// listed is the list as it stood from a moment on.
-type listed struct {
+// snapshot is the list as it was after a change.
+type snapshot struct {
 	since    time.Time
 	machines []Machine
 }
 
-// List is the stand-in.
+// List is the stand-in. It is safe for concurrent use.
 type List struct {
 	mutex   sync.Mutex
 	lag     time.Duration
-	history []listed
+	history []snapshot
 	now     func() time.Time
 }
 
-// New returns a list that shows each change a lag after it was made.
+// New returns an empty list whose changes become visible after lag. now is its clock.
 func New(lag time.Duration, now func() time.Time) *List {
 	return &List{lag: lag, now: now}
 }
 
-// Seed sets machines that the list shows at once, whatever the lag.
+// Seed replaces the list. Unlike other changes, this is visible at once.
 func (l *List) Seed(machines ...Machine) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.history = []listed{{machines: slices.Clone(machines)}}
+	l.history = []snapshot{{machines: slices.Clone(machines)}}
 }
 
-// Set adds a machine or changes its entry.
+// Set adds a machine or replaces its entry.
 func (l *List) Set(machine Machine) {
 	l.change(func(machines []Machine) []Machine {
 		machines = slices.DeleteFunc(machines, func(other Machine) bool { return other.Name == machine.Name })
@@ -66,7 +66,7 @@
 	})
 }
 
-// Remove takes a machine off the list.
+// Remove removes a machine from the list.
 func (l *List) Remove(name string) {
 	l.change(func(machines []Machine) []Machine {
 		return slices.DeleteFunc(machines, func(machine Machine) bool { return machine.Name == name })
@@ -81,23 +81,23 @@
 		newest = slices.Clone(l.history[len(l.history)-1].machines)
 	}
 	now := l.now()
-	l.history = append(l.history, listed{since: now, machines: edit(newest)})
-	l.forget(now)
+	l.history = append(l.history, snapshot{since: now, machines: edit(newest)})
+	l.dropObsolete(now)
 }
 
-// forget drops what no reader can see any more. Callers hold the mutex.
-func (l *List) forget(now time.Time) {
+// dropObsolete drops the snapshots that a newer visible one has replaced. Callers hold the mutex.
+func (l *List) dropObsolete(now time.Time) {
 	for len(l.history) > 1 && !l.history[1].since.Add(l.lag).After(now) {
 		l.history = l.history[1:]
 	}
 }
 
-// Shown returns the list as a reader sees it now.
-func (l *List) Shown() []Machine {
+// Visible returns the list as it is visible to readers now, nil if no list is visible yet.
+func (l *List) Visible() []Machine {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
-	l.forget(now)
+	l.dropObsolete(now)
 	if len(l.history) == 0 {
 		return nil
 	}
@@ -114,7 +114,7 @@
 		http.NotFound(writer, request)
 		return
 	}
-	machines := l.Shown()
+	machines := l.Visible()
 	if machines == nil {
 		machines = []Machine{}
 	}
--- a/lab/report/lines.go
+++ b/lab/report/lines.go
@@ -1,5 +1,5 @@
-// Package report writes what an experiment measured as JSON lines and draws
-// plots of it.
+// Package report writes the results of an experiment as JSON lines and draws plots
+// of them.
 package report
 
 import (
@@ -15,7 +15,7 @@
 	"sliphead/lab/load"
 )
 
-// FileName is the name of the report within a run's directory.
+// FileName is the name of the report file in the directory of a run.
 const FileName = "report.jsonl"
 
 // Line is one line of a report. Exactly one of the pointers is set.
@@ -27,7 +27,7 @@
 	Phase     *experiment.PhaseFigures `json:"phase,omitempty"`
 }
 
-// Write writes the report of an outcome into a directory.
+// Write writes the report of an outcome into a directory, which it creates if it does not exist.
 func Write(directory string, outcome *experiment.Outcome) error {
 	const remedy = "choose a directory that can be written"
 	const ownerOnly = 0o700
@@ -41,7 +41,7 @@
 	defer file.Close()
 	buffered := bufio.NewWriter(file)
 	encoder := json.NewEncoder(buffered)
-	for _, line := range linesOf(outcome) {
+	for _, line := range reportLines(outcome) {
 		if err := encoder.Encode(line); err != nil {
 			return fault.Wrap(err, fault.Internal, "report this defect", "encode the report")
 		}
@@ -49,7 +49,7 @@
 	return fault.Wrap(buffered.Flush(), fault.Settings, remedy, "write the report")
 }
 
-func linesOf(outcome *experiment.Outcome) []Line {
+func reportLines(outcome *experiment.Outcome) []Line {
 	lines := []Line{{Result: outcome.Fields()}}
 	for _, violation := range outcome.Violations {
 		lines = append(lines, Line{Violation: violation})
@@ -66,7 +66,7 @@
 	return lines
 }
 
-// Read reads the report of a directory.
+// Read reads the report in the directory of a run.
 func Read(directory string) ([]Line, error) {
 	const remedy = "give the directory that a run wrote as --out"
 	file, err := os.Open(filepath.Join(directory, FileName))
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -14,13 +14,13 @@
 	"sliphead/lab/load"
 )
 
-// The size of a plot.
+// The size of a plot and the position of its legend.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
 
 	legendMargin = 4 * vg.Millimeter
-	legendShare  = 0.3 // height below zero kept free for the legend
+	legendShare  = 0.3 // space below zero for the legend, as a share of the largest value
 )
 
 // series is a named line of a plot.
@@ -29,7 +29,7 @@
 	points plotter.XYs
 }
 
-// Draw draws the plots of a directory's report and returns the files' paths.
+// Draw draws the plots of the report in a directory into it and returns the paths of the files.
 // The format is svg or png.
 func Draw(directory, format string) ([]string, error) {
 	lines, err := Read(directory)
@@ -103,7 +103,7 @@
 	return distributions(values)
 }
 
-// distributions returns the cumulative distribution of each set of values.
+// distributions returns the cumulative distribution of each set of values, sorted by name.
 func distributions(values map[string][]float64) []series {
 	var all []series
 	for _, name := range sortedKeys(values) {
@@ -118,8 +118,8 @@
 }
 
 func endingSeries(lines []Line) []series {
-	first, last := span(lines)
-	seconds := max(1, int(last.Sub(first)/time.Second)) // whole seconds only
+	first, last := intendedStarts(lines)
+	seconds := max(1, int(last.Sub(first)/time.Second)) // without the last, incomplete second
 	perSecond := map[string][]float64{}
 	for _, line := range lines {
 		if line.Attempt == nil {
@@ -144,8 +144,8 @@
 	return all
 }
 
-// span returns the first and last intended start.
-func span(lines []Line) (first, last time.Time) {
+// intendedStarts returns the first and last intended start of all attempts.
+func intendedStarts(lines []Line) (first, last time.Time) {
 	for _, line := range lines {
 		if line.Attempt == nil {
 			continue
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -12,7 +12,7 @@
 	"sliphead/lab/load"
 )
 
-func TestReportReadsBackAndDraws(t *testing.T) {
+func TestWrittenReportCanBeReadAndDrawn(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	outcome := &experiment.Outcome{Name: "x", Violations: []string{"v"}}
 	for number := range 100 {
--- a/lab/store/store.go
+++ b/lab/store/store.go
@@ -1,7 +1,7 @@
-// Package store is a stand-in for a linearizable key-value store of which the
-// system only reads: one revision counter, a bounded history, watches, and the
-// ways in which such stores fail. It knows no format and no transport; tests
-// put their own in front of it.
+// Package store implements a stand-in for a linearizable key-value store that the
+// system only reads. It has one revision counter, a history that can be compacted,
+// watches, and the typical failures of such stores. It defines no data format and
+// no transport; tests add their own.
 package store
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Item is one key, or that it is gone.
+// Item is the state of a key after a change: its value, or that it was removed.
 type Item struct {
 	Key      string
 	Value    []byte
@@ -21,46 +21,46 @@
 	Gone     bool
 }
 
-// Treatment is how the store treats one caller.
+// Treatment is the way in which the store treats the calls of one caller. The transport implements it.
 type Treatment int
 
-// The treatments.
+// The treatments of calls.
 const (
-	Serve       Treatment = iota
-	Throttle              // refuses at once: too many calls
-	Refuse                // refuses at once: unavailable
-	Silence               // never answers
-	Garbage               // answers with what is no answer
-	SilentWatch           // answers reads, but no watch
+	Serve       Treatment = iota // respond normally
+	Throttle                     // reject at once: too many calls
+	Refuse                       // reject at once: unavailable
+	Silence                      // send no response
+	Garbage                      // send an invalid response
+	SilentWatch                  // respond to reads, but not to watches
 )
 
-// Store is the stand-in. Make one with New.
+// Store is the stand-in. Its zero value is not usable; call New. It is safe for concurrent use.
 type Store struct {
-	mutex     sync.Mutex
-	era       uint64 // rises by one each time the store comes back from a copy
-	revision  uint64
-	items     map[string]Item
-	history   []Item // oldest first
-	dropped   uint64 // changes up to this revision are no longer in the history
-	changed   chan struct{}
-	treatment map[string]Treatment // by caller, "" for all
-	calls     map[string]int       // by caller
+	mutex             sync.Mutex
+	era               uint64 // from 1, increased by each restore from a copy
+	revision          uint64
+	items             map[string]Item
+	history           []Item // oldest first
+	compactedRevision uint64 // highest revision that is no longer in the history
+	changed           chan struct{}
+	treatments        map[string]Treatment // by caller, "" for all others
+	calls             map[string]int       // by caller
 }
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{era: 1, items: map[string]Item{}, changed: make(chan struct{}), treatment: map[string]Treatment{}, calls: map[string]int{}}
+	return &Store{era: 1, items: map[string]Item{}, changed: make(chan struct{}), treatments: map[string]Treatment{}, calls: map[string]int{}}
 }
 
-// Put writes a key and returns the revision, which acknowledges it.
+// Put writes a key and returns the revision of the change.
 func (s *Store) Put(key string, value []byte) uint64 {
 	return s.write(Item{Key: key, Value: value})
 }
 
-// Remove removes a key and returns the revision.
+// Remove removes a key and returns the revision of the change.
 func (s *Store) Remove(key string) uint64 { return s.write(Item{Key: key, Gone: true}) }
 
-// Revision is the revision of the last change.
+// Revision returns the revision of the last change.
 func (s *Store) Revision() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -78,46 +78,46 @@
 	} else {
 		s.items[item.Key] = item
 	}
-	s.wake()
+	s.notifyChanged()
 	return s.revision
 }
 
-// wake lets waiting watches look again. The mutex is held.
-func (s *Store) wake() {
+// notifyChanged wakes waiting watches. Callers hold the mutex.
+func (s *Store) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Compact drops the history and cuts the watches that wait.
+// Compact drops the history and wakes waiting watches. Watches from an earlier revision fail from then on.
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.dropped = s.revision
+	s.compactedRevision = s.revision
 	s.history = nil
-	s.wake()
+	s.notifyChanged()
 }
 
-// Treat sets how one caller is treated, "" for all that have no treatment of
-// their own.
+// Treat sets the treatment of a caller. An empty caller sets it for all callers
+// without their own.
 func (s *Store) Treat(caller string, treatment Treatment) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.treatment[caller] = treatment
-	s.wake()
+	s.treatments[caller] = treatment
+	s.notifyChanged()
 }
 
-// Admit counts a call and returns how its caller is treated.
+// Admit counts a call and returns the treatment of its caller.
 func (s *Store) Admit(caller string) Treatment {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls[caller]++
-	if treatment, own := s.treatment[caller]; own {
+	if treatment, own := s.treatments[caller]; own {
 		return treatment
 	}
-	return s.treatment[""]
+	return s.treatments[""]
 }
 
-// Calls returns the number of calls, by caller.
+// Calls returns the number of calls by caller.
 func (s *Store) Calls() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -128,30 +128,30 @@
 	return calls
 }
 
-// Position is a state in the store's life: the revision of the last change, and how often
-// the store had come back from a copy, from 1.
+// Position identifies a state of the store: the revision of the last change, and the era,
+// which starts at 1 and is increased by each restore from a copy.
 type Position struct{ Era, Revision uint64 }
 
-// at is the position of now. The mutex is held.
-func (s *Store) at() Position { return Position{Era: s.era, Revision: s.revision} }
+// position returns the current position. Callers hold the mutex.
+func (s *Store) position() Position { return Position{Era: s.era, Revision: s.revision} }
 
-// Copy is a state of the store that it can come back from.
+// Copy is a snapshot of the store from which it can be restored.
 type Copy struct {
-	revision uint64
-	items    map[string]Item
-	history  []Item
-	dropped  uint64
+	revision          uint64
+	items             map[string]Item
+	history           []Item
+	compactedRevision uint64
 }
 
-// Copy returns a copy of the state of now.
+// Copy returns a snapshot of the current state.
 func (s *Store) Copy() Copy {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return Copy{revision: s.revision, items: maps.Clone(s.items), history: slices.Clone(s.history), dropped: s.dropped}
+	return Copy{revision: s.revision, items: maps.Clone(s.items), history: slices.Clone(s.history), compactedRevision: s.compactedRevision}
 }
 
-// Restore brings the store back from a copy: what was written since is lost, and its
-// revisions are given out again. The era rises.
+// Restore resets the store to a copy and increases the era. Changes made since the copy
+// are lost, and their revisions are assigned again.
 func (s *Store) Restore(from Copy) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -159,19 +159,19 @@
 	s.revision = from.revision
 	s.items = maps.Clone(from.items)
 	s.history = slices.Clone(from.history)
-	s.dropped = from.dropped
-	s.wake()
+	s.compactedRevision = from.compactedRevision
+	s.notifyChanged()
 }
 
-// Get returns a key and the store's position.
+// Get returns the item of a key, and the store's position.
 func (s *Store) Get(key string) (item Item, found bool, at Position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	item, found = s.items[key]
-	return item, found, s.at()
+	return item, found, s.position()
 }
 
-// Range returns up to limit items below a prefix and after a key, in order.
+// Range returns up to limit items with a key prefix and a key greater than after, ordered by key, and whether there are more.
 func (s *Store) Range(prefix, after string, limit int) (items []Item, more bool, at Position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -182,21 +182,21 @@
 	}
 	slices.SortFunc(items, func(a, b Item) int { return strings.Compare(a.Key, b.Key) })
 	if len(items) > limit {
-		return items[:limit], true, s.at()
+		return items[:limit], true, s.position()
 	}
-	return items, false, s.at()
+	return items, false, s.position()
 }
 
-// Watch returns the changes below a prefix and after a revision, once there is
-// one or the wait is over. It reports false when the history does not reach
-// back so far.
-func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (events []Item, at Position, known bool) {
+// Watch waits for changes of keys with a prefix after a revision, and returns them. It
+// returns none when the wait or the context ends first. available is false if changes after
+// the revision are no longer in the history, or the revision has not been assigned.
+func (s *Store) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (events []Item, at Position, available bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		events, at, known, changed := s.since(prefix, after)
-		if !known || len(events) > 0 {
-			return events, at, known
+		events, at, available, changed := s.changesSince(prefix, after)
+		if !available || len(events) > 0 {
+			return events, at, available
 		}
 		select {
 		case <-changed:
@@ -208,16 +208,16 @@
 	}
 }
 
-func (s *Store) since(prefix string, after uint64) (events []Item, at Position, known bool, changed chan struct{}) {
+func (s *Store) changesSince(prefix string, after uint64) (events []Item, at Position, available bool, changed chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if after < s.dropped || after > s.revision {
-		return nil, s.at(), false, s.changed
+	if after < s.compactedRevision || after > s.revision {
+		return nil, s.position(), false, s.changed
 	}
 	for _, item := range s.history {
 		if item.Revision > after && strings.HasPrefix(item.Key, prefix) {
 			events = append(events, item)
 		}
 	}
-	return events, s.at(), true, s.changed
+	return events, s.position(), true, s.changed
 }
