--- a/lab/echo/echo.go
+++ b/lab/echo/echo.go
@@ -1,5 +1,5 @@
-// Package echo defines the answers of the stand-in workers, so that a caller
-// can verify that an answer is whole and belongs to its own request.
+// Package echo defines the responses of the stand-in workers, with which a caller
+// can verify that a response is complete and belongs to its request.
 package echo
 
 import (
@@ -11,20 +11,20 @@
 	"sliphead/internal/fault"
 )
 
-// The headers by which a caller asks for a certain run.
+// The request headers that determine how a worker runs a request.
 const (
-	HeaderNonce       = "Lab-Nonce"        // names the request; returned in the answer
-	HeaderAttempt     = "Lab-Attempt"      // counts the submissions of one request, from 1
-	HeaderAnswerBytes = "Lab-Answer-Bytes" // length of the filler in the answer
-	HeaderRunMicros   = "Lab-Run-Micros"   // time to run, microseconds; the worker's own setting when absent
-	HeaderCalls       = "Lab-Calls"        // comma-separated paths to call on through the worker's node, one per level
+	HeaderNonce       = "Lab-Nonce"        // identifies the request; returned in the response
+	HeaderAttempt     = "Lab-Attempt"      // number of the attempt of the request, from 1
+	HeaderFillerBytes = "Lab-Answer-Bytes" // length of the filler in the response
+	HeaderRunMicros   = "Lab-Run-Micros"   // run time in microseconds; the worker's setting when absent
+	HeaderCalls       = "Lab-Calls"        // comma-separated paths of nested calls through the workers' nodes, one for each level
 )
 
-// MaxFiller bounds the filler of an answer, bytes.
+// MaxFiller limits the filler of a response, in bytes.
 const MaxFiller = 64 << 20
 
-// Answer is the body of a worker's answer.
-type Answer struct {
+// Response is the body of a worker's response.
+type Response struct {
 	Worker     string `json:"worker"`
 	Service    string `json:"service"`
 	Nonce      string `json:"nonce"`
@@ -35,7 +35,7 @@
 	Filler     string `json:"filler"`
 }
 
-// Filler returns size bytes derived from the nonce.
+// Filler returns a text of size bytes that is derived from the nonce.
 func Filler(nonce string, size int) string {
 	if size <= 0 {
 		return ""
@@ -45,43 +45,43 @@
 	return repeated[:size]
 }
 
-// Digest returns the SHA-256 of data in hexadecimal.
+// Digest returns the SHA-256 hash of data in hexadecimal.
 func Digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// Expectation is what a whole own answer must hold.
+// Expectation holds the expected values of the response to a request.
 type Expectation struct {
 	Nonce       string
 	Path        string
 	BodyDigest  string
 	BodyBytes   int64
-	AnswerBytes int
+	FillerBytes int
 }
 
-// Verify reads an answer and returns an error if it is not whole or belongs to
+// Verify decodes a response and returns an error if it is incomplete or belongs to
 // another request.
-func (e Expectation) Verify(body []byte) (Answer, error) {
-	var answer Answer
-	if err := json.Unmarshal(body, &answer); err != nil {
-		return answer, wrong(err, "answer to %s is not whole", e.Nonce)
+func (e Expectation) Verify(body []byte) (Response, error) {
+	var response Response
+	if err := json.Unmarshal(body, &response); err != nil {
+		return response, verificationError(err, "response to %s is incomplete", e.Nonce)
 	}
 	switch {
-	case answer.Nonce != e.Nonce:
-		return answer, wrong(nil, "answer to %s belongs to %s", e.Nonce, answer.Nonce)
-	case answer.Path != e.Path:
-		return answer, wrong(nil, "answer to %s is for path %s, want %s", e.Nonce, answer.Path, e.Path)
-	case answer.BodyDigest != e.BodyDigest || answer.BodyBytes != e.BodyBytes:
-		return answer, wrong(nil, "worker %s read another body for %s: %d bytes, want %d", answer.Worker, e.Nonce, answer.BodyBytes, e.BodyBytes)
-	case answer.Filler != Filler(e.Nonce, e.AnswerBytes):
-		return answer, wrong(nil, "filler of the answer to %s has %d bytes or other content, want %d", e.Nonce, len(answer.Filler), e.AnswerBytes)
+	case response.Nonce != e.Nonce:
+		return response, verificationError(nil, "response to %s belongs to %s", e.Nonce, response.Nonce)
+	case response.Path != e.Path:
+		return response, verificationError(nil, "response to %s is for path %s, want %s", e.Nonce, response.Path, e.Path)
+	case response.BodyDigest != e.BodyDigest || response.BodyBytes != e.BodyBytes:
+		return response, verificationError(nil, "worker %s received another body for %s: %d bytes, want %d", response.Worker, e.Nonce, response.BodyBytes, e.BodyBytes)
+	case response.Filler != Filler(e.Nonce, e.FillerBytes):
+		return response, verificationError(nil, "filler of the response to %s has %d bytes or unexpected content, want %d bytes", e.Nonce, len(response.Filler), e.FillerBytes)
 	}
-	return answer, nil
+	return response, nil
 }
 
-func wrong(cause error, format string, args ...any) error {
-	const remedy = "find the hop that mixed or cut the answer by its request id in the nodes' logs"
+func verificationError(cause error, format string, args ...any) error {
+	const remedy = "search the nodes' logs for the request id to find the hop that mixed up or truncated the response"
 	if cause != nil {
 		return fault.Wrap(cause, fault.Worker, remedy, format, args...)
 	}
--- a/lab/echo/echo_test.go
+++ b/lab/echo/echo_test.go
@@ -7,27 +7,27 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestVerifyRefusesCutForeignAndChangedAnswers(t *testing.T) {
-	expected := Expectation{Nonce: "n1", Path: "/p", BodyDigest: Digest([]byte("b")), BodyBytes: 1, AnswerBytes: 100}
-	whole := Answer{Worker: "w", Nonce: "n1", Path: "/p", BodyBytes: 1, BodyDigest: Digest([]byte("b")), Filler: Filler("n1", 100)}
-	encode := func(edit func(*Answer)) []byte {
-		answer := whole
-		edit(&answer)
-		body, err := json.Marshal(answer)
+func TestVerifyRejectsIncompleteForeignAndAlteredResponses(t *testing.T) {
+	expected := Expectation{Nonce: "n1", Path: "/p", BodyDigest: Digest([]byte("b")), BodyBytes: 1, FillerBytes: 100}
+	complete := Response{Worker: "w", Nonce: "n1", Path: "/p", BodyBytes: 1, BodyDigest: Digest([]byte("b")), Filler: Filler("n1", 100)}
+	encode := func(edit func(*Response)) []byte {
+		response := complete
+		edit(&response)
+		body, err := json.Marshal(response)
 		must.NoError(t, err)
 		return body
 	}
-	answer, err := expected.Verify(encode(func(*Answer) {}))
+	response, err := expected.Verify(encode(func(*Response) {}))
 	must.NoError(t, err)
-	must.Eq(t, "w", answer.Worker)
+	must.Eq(t, "w", response.Worker)
 
-	body := encode(func(*Answer) {})
+	body := encode(func(*Response) {})
 	for name, wrongBody := range map[string][]byte{
-		"is not whole":      body[:len(body)/2],
-		"belongs to n2":     encode(func(a *Answer) { a.Nonce = "n2" }),
-		"is for path /q":    encode(func(a *Answer) { a.Path = "/q" }),
-		"read another body": encode(func(a *Answer) { a.BodyBytes = 0 }),
-		"filler":            encode(func(a *Answer) { a.Filler = a.Filler[:50] }),
+		"is incomplete":         body[:len(body)/2],
+		"belongs to n2":         encode(func(a *Response) { a.Nonce = "n2" }),
+		"is for path /q":        encode(func(a *Response) { a.Path = "/q" }),
+		"received another body": encode(func(a *Response) { a.BodyBytes = 0 }),
+		"filler":                encode(func(a *Response) { a.Filler = a.Filler[:50] }),
 	} {
 		_, err := expected.Verify(wrongBody)
 		must.ErrorContains(t, err, name)
--- a/lab/event/event.go
+++ b/lab/event/event.go
@@ -1,4 +1,4 @@
-// Package event writes and reads the lab's log lines: one event a line, as
+// Package event formats and parses the lab's log lines. Each line is one event, as
 // key=value pairs.
 package event
 
@@ -13,10 +13,10 @@
 	"github.com/apex/log"
 )
 
-// leading are the keys that come first on a line, in this order.
-var leading = []string{"event", "name", "verdict"}
+// leadingKeys are the keys that come first on a line, in this order.
+var leadingKeys = []string{"event", "name", "verdict"}
 
-// Handler writes entries as key=value lines. It is safe for concurrent use.
+// Handler writes log entries as lines of key=value pairs. It is safe for concurrent use.
 type Handler struct {
 	mutex  sync.Mutex
 	writer io.Writer
@@ -34,8 +34,8 @@
 	return err
 }
 
-// Format returns the fields as key=value pairs, the event's name first and the
-// others sorted.
+// Format returns the fields as key=value pairs: event, name and verdict first, then
+// the others, sorted by key.
 func Format(fields log.Fields) string {
 	keys := make([]string, 0, len(fields))
 	for key := range fields {
@@ -58,10 +58,10 @@
 }
 
 func keyRank(key string) int {
-	if rank := slices.Index(leading, key); rank >= 0 {
+	if rank := slices.Index(leadingKeys, key); rank >= 0 {
 		return rank
 	}
-	return len(leading)
+	return len(leadingKeys)
 }
 
 func quote(value string) string {
@@ -71,8 +71,7 @@
 	return value
 }
 
-// Parse reads a line of key=value pairs. Words without an equals sign are
-// skipped.
+// Parse parses a line of key=value pairs. Words without an equals sign are ignored.
 func Parse(line string) map[string]string {
 	fields := map[string]string{}
 	rest := strings.TrimSpace(line)
@@ -86,7 +85,7 @@
 	return fields
 }
 
-// nextPair takes one pair, or one word with an empty key, off the line.
+// nextPair splits the first pair off the line. A word without an equals sign is returned as a value with an empty key.
 func nextPair(line string) (key, value, rest string) {
 	end := strings.IndexAny(line, "= ")
 	if end < 0 {
--- a/lab/latency/latency.go
+++ b/lab/latency/latency.go
@@ -135,11 +135,11 @@
 func (r *runner) class() load.Class {
 	return load.Class{
 		Name: "price-check", Method: "GET", Path: routePath + "/a4",
-		AnswerBytes: responseBytes, RunMillis: r.options.RunMillis,
+		FillerBytes: fillerBytes, RunMillis: r.options.RunMillis,
 	}
 }
 
-const responseBytes = 500
+const fillerBytes = 500
 
 // target returns the target of requests on a path.
 func (r *runner) target(path Path) load.Target {
--- a/lab/load/caller.go
+++ b/lab/load/caller.go
@@ -94,7 +94,7 @@
 		Path:        s.Class.Path,
 		BodyDigest:  echo.Digest(content),
 		BodyBytes:   int64(len(content)),
-		AnswerBytes: s.Class.AnswerBytes,
+		FillerBytes: s.Class.FillerBytes,
 	}
 }
 
@@ -123,7 +123,7 @@
 	class := submission.Class
 	header.Set(echo.HeaderNonce, submission.Nonce)
 	header.Set(echo.HeaderAttempt, strconv.Itoa(submission.Number))
-	header.Set(echo.HeaderAnswerBytes, strconv.Itoa(class.AnswerBytes))
+	header.Set(echo.HeaderFillerBytes, strconv.Itoa(class.FillerBytes))
 	if class.RunMillis > 0 {
 		header.Set(echo.HeaderRunMicros, strconv.FormatInt(int64(class.RunMillis*1000), 10))
 	}
@@ -210,8 +210,8 @@
 		attempt.Cause = "error status by the worker: " + string(body[:min(len(body), maxCauseBytes)])
 		return
 	}
-	answer, err := expected.Verify(body)
-	attempt.Worker = answer.Worker
+	response, err := expected.Verify(body)
+	attempt.Worker = response.Worker
 	attempt.Ending = EndingAnswered
 	if err != nil {
 		attempt.Ending = EndingWrong
--- a/lab/load/class.go
+++ b/lab/load/class.go
@@ -17,7 +17,7 @@
 	RatePerSecond float64           `yaml:"ratePerSecond" validate:"gt=0"`
 	BodyBytes     int               `yaml:"bodyBytes" validate:"min=0"`
 	BodyMillis    int               `yaml:"bodyMillis" validate:"min=0"` // period over which the body is sent
-	AnswerBytes   int               `yaml:"answerBytes" validate:"min=0"`
+	FillerBytes   int               `yaml:"answerBytes" validate:"min=0"`
 	RunMillis     float64           `yaml:"runMillis" validate:"min=0"` // run time at the worker; the worker's setting when 0
 	DeadlineMS    int               `yaml:"deadlineMs" validate:"min=0"`
 	Calls         string            `yaml:"calls"`                        // paths of nested calls, comma-separated
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -23,7 +23,7 @@
 	caller := NewCaller(netip.MustParseAddr("127.0.0.1"))
 	defer caller.Close()
 	return caller.Submit(t.Context(), Submission{
-		Class:  Class{Name: "c", Method: http.MethodPost, Path: "/p", BodyBytes: 10, AnswerBytes: 10},
+		Class:  Class{Name: "c", Method: http.MethodPost, Path: "/p", BodyBytes: 10, FillerBytes: 10},
 		Nonce:  "n1",
 		Number: 1,
 		Target: Target{Name: "edge", Address: strings.TrimPrefix(server.URL, "http://")},
--- a/lab/worker/run.go
+++ b/lab/worker/run.go
@@ -148,8 +148,8 @@
 
 func (w *Worker) responseBody(request *http.Request, bodyBytes int64, bodyDigest, nested string) []byte {
 	nonce := request.Header.Get(echo.HeaderNonce)
-	size, _ := strconv.Atoi(request.Header.Get(echo.HeaderAnswerBytes))
-	body, _ := json.Marshal(echo.Answer{
+	size, _ := strconv.Atoi(request.Header.Get(echo.HeaderFillerBytes))
+	body, _ := json.Marshal(echo.Response{
 		Worker:     w.settings.Name,
 		Service:    w.settings.Service,
 		Nonce:      nonce,
--- a/lab/worker/worker_test.go
+++ b/lab/worker/worker_test.go
@@ -57,10 +57,10 @@
 
 func TestResponseIsVerifiableAndRunIsInJournal(t *testing.T) {
 	started := start(t, func(s *Settings) { s.Credential = "secret" })
-	headers := []string{"Authorization", "Bearer secret", echo.HeaderNonce, "n1", echo.HeaderAnswerBytes, "5000", outcome.IdempotencyKey, "k1"}
+	headers := []string{"Authorization", "Bearer secret", echo.HeaderNonce, "n1", echo.HeaderFillerBytes, "5000", outcome.IdempotencyKey, "k1"}
 	_, body, err := send(t, context.Background(), started, "/orders", "content", headers...)
 	must.NoError(t, err)
-	expected := echo.Expectation{Nonce: "n1", Path: "/orders", BodyDigest: echo.Digest([]byte("content")), BodyBytes: 7, AnswerBytes: 5000}
+	expected := echo.Expectation{Nonce: "n1", Path: "/orders", BodyDigest: echo.Digest([]byte("content")), BodyBytes: 7, FillerBytes: 5000}
 	_, err = expected.Verify(body)
 	must.NoError(t, err)
 	eventually(func() bool { return started.Journal.Runs()[0].Ending == EndingDone })
