--- a/cmd/sliphead-lab/experiments.go
+++ b/cmd/sliphead-lab/experiments.go
@@ -23,7 +23,8 @@
 	Out        string `help:"Directory for settings, logs and the report; a temporary directory when empty." type:"path"`
 }
 
-// directory returns the output directory of a run and a function that removes it if it is temporary.
+// directory returns the output directory of a run and a function that removes it if
+// it is temporary.
 func (f meshFlags) directory() (string, func(), error) {
 	if f.Out != "" {
 		return f.Out, func() {}, nil
@@ -51,7 +52,8 @@
 	return mesh.Options{NodeBinary: node, LabBinary: lab, Directory: directory, Octet: octet, Seed: f.Seed}, nil
 }
 
-// runFile runs one experiment file and writes its output to directory. index is added to a given octet.
+// runFile runs one experiment file and writes its output to directory. index is
+// added to a given octet.
 func (f meshFlags) runFile(ctx context.Context, path, directory string, index int, logger log.Interface) (*experiment.Outcome, error) {
 	spec, plan, err := experiment.Read(path)
 	if err != nil {
@@ -65,8 +67,9 @@
 	return experiment.Run(ctx, spec, plan, experiment.Options{Mesh: options, Logger: logger})
 }
 
-// conclude writes the report and the result line. It returns an error if the verdict is not pass.
-func conclude(outcome *experiment.Outcome, directory string, logger log.Interface) error {
+// reportOutcome writes the report and the result line. It returns an error if the verdict
+// is not pass.
+func reportOutcome(outcome *experiment.Outcome, directory string, logger log.Interface) error {
 	if err := report.Write(directory, outcome); err != nil {
 		return err
 	}
@@ -110,7 +113,7 @@
 		logger.WithFields(log.Fields{"event": "experiment.result", "name": "demo", "verdict": experiment.VerdictFail, "cause": err.Error()}).Info("")
 		return err
 	}
-	return conclude(experiment.Merge("demo", outcomes...), directory, logger)
+	return reportOutcome(experiment.Merge("demo", outcomes...), directory, logger)
 }
 
 // runCommand runs one experiment file.
@@ -131,7 +134,7 @@
 		logger.WithFields(log.Fields{"event": "experiment.result", "name": filepath.Base(c.File), "verdict": experiment.VerdictFail, "cause": err.Error()}).Info("")
 		return err
 	}
-	return conclude(outcome, directory, logger)
+	return reportOutcome(outcome, directory, logger)
 }
 
 // reportCommand draws the plots of a report.
--- a/cmd/sliphead-lab/standins.go
+++ b/cmd/sliphead-lab/standins.go
@@ -89,16 +89,16 @@
 
 // reload polls the document file and publishes the document whenever the file has changed.
 func (c *sourceCommand) reload(ctx context.Context, service *source.Service, logger log.Interface) {
-	var seen time.Time
+	var lastModified time.Time
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
-		if changed := modificationTime(c.Document); !seen.IsZero() && changed.After(seen) {
+		if changed := modificationTime(c.Document); !lastModified.IsZero() && changed.After(lastModified) {
 			if err := c.publish(service, logger); err != nil {
 				logger.WithFields(log.Fields{"event": "configuration.refused", "error": err.Error()}).Error("")
 			}
 		}
-		seen = modificationTime(c.Document)
+		lastModified = modificationTime(c.Document)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/lab/event/event.go
+++ b/lab/event/event.go
@@ -85,7 +85,8 @@
 	return fields
 }
 
-// nextPair splits the first pair off the line. A word without an equals sign is returned as a value with an empty key.
+// nextPair splits the first pair off the line. A word without an equals sign is
+// returned as a value with an empty key.
 func nextPair(line string) (key, value, rest string) {
 	end := strings.IndexAny(line, "= ")
 	if end < 0 {
--- a/lab/experiment/actions.go
+++ b/lab/experiment/actions.go
@@ -130,7 +130,8 @@
 
 func secretValue(name string) string { return name + "-value" }
 
-// windowAround returns a window that is open from 2 h before now to 2 h after, or one that opens 4 h after now.
+// windowAround returns a window that is open from 2 h before now to 2 h after, or
+// one that opens 4 h after now.
 func windowAround(now time.Time, timeZone string, state WindowState) (declaration.Window, error) {
 	location, err := time.LoadLocation(timeZone)
 	if err != nil {
@@ -195,8 +196,8 @@
 
 func setZoneCut(cut bool) action {
 	return func(_ context.Context, r *run, step Step) error {
-		known := slices.ContainsFunc(r.mesh.Plan.Zones, func(zone declaration.Zone) bool { return zone.Name == step.Zone })
-		if !known {
+		declared := slices.ContainsFunc(r.mesh.Plan.Zones, func(zone declaration.Zone) bool { return zone.Name == step.Zone })
+		if !declared {
 			return fault.New(fault.Settings, "name a zone of the plan", "unknown zone %q", step.Zone)
 		}
 		r.mesh.CutZone(step.Zone, step.Platform, cut)
--- a/lab/experiment/expect.go
+++ b/lab/experiment/expect.go
@@ -106,8 +106,8 @@
 // answeredSinceByWorker returns the number of answered attempts by worker, of the
 // attempts of a class with an intended start at or after from.
 func (r *run) answeredSinceByWorker(class string, from time.Time) (map[string]int, error) {
-	known := slices.ContainsFunc(r.spec.Load, func(each load.Class) bool { return each.Name == class })
-	if !known {
+	declared := slices.ContainsFunc(r.spec.Load, func(each load.Class) bool { return each.Name == class })
+	if !declared {
 		return nil, fault.New(fault.Settings, "name a class of the load", "unknown class %q", class)
 	}
 	return r.generator.Result.AnsweredBy(class, from, time.Now()), nil
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -52,7 +52,7 @@
 }
 
 func TestDemoFailsWhenNodesMisbehave(t *testing.T) {
-	for fault, finding := range map[string]string{
+	for fault, violation := range map[string]string{
 		faultOlderVersion:   "went from version",
 		faultIgnoresUpdates: "which is not selected",
 		faultRunsTwice:      "ran 2 times",
@@ -61,7 +61,7 @@
 		t.Run(fault, func(t *testing.T) {
 			result := runDemo(t, fault, 6)
 			must.Eq(t, VerdictFail, result.Verdict())
-			must.StrContains(t, strings.Join(result.Violations, "\n"), finding)
+			must.StrContains(t, strings.Join(result.Violations, "\n"), violation)
 		})
 	}
 }
--- a/lab/experiment/main_test.go
+++ b/lab/experiment/main_test.go
@@ -24,7 +24,8 @@
 	"sliphead/lab/worker"
 )
 
-// TestMain lets the test binary act as both programs that a mesh starts: the worker and the node.
+// TestMain lets the test binary act as both programs that a mesh starts: the worker
+// and the node.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "worker" {
 		runWorker(os.Args[2:])
--- a/lab/experiment/outcome.go
+++ b/lab/experiment/outcome.go
@@ -180,7 +180,8 @@
 	return float64(duration) / float64(time.Millisecond)
 }
 
-// ConvergenceQuantile returns a percentile, 0 to 100, of the samples' convergence times. Times above 1 h count as 1 h.
+// ConvergenceQuantile returns a percentile, 0 to 100, of the samples' convergence
+// times. Times above 1 h count as 1 h.
 func ConvergenceQuantile(samples []Sample, percentile float64) time.Duration {
 	const highest = int64(time.Hour / time.Microsecond)
 	histogram := hdrhistogram.New(1, highest, 3)
@@ -190,7 +191,8 @@
 	return time.Duration(histogram.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// Merge combines the outcomes of experiments that ran concurrently into one with the given name.
+// Merge combines the outcomes of experiments that ran concurrently into one with the
+// given name.
 func Merge(name string, outcomes ...*Outcome) *Outcome {
 	merged := &Outcome{Name: name}
 	for _, each := range outcomes {
--- a/lab/experiment/phase.go
+++ b/lab/experiment/phase.go
@@ -47,7 +47,8 @@
 	return err
 }
 
-// computePhaseFigures computes the figures of each phase, first for all classes together and then by class.
+// computePhaseFigures computes the figures of each phase, first for all classes
+// together and then by class.
 func computePhaseFigures(phases []Phase, attempts []load.Attempt) []PhaseFigures {
 	var all []PhaseFigures
 	for _, phase := range phases {
@@ -121,13 +122,13 @@
 		return figures[index]
 	}
 	for _, bound := range r.spec.Checks.Phases {
-		reached := find(bound.Phase, bound.Class)
-		base, of := reached.OfferedPerSecond, "offered"
+		measured := find(bound.Phase, bound.Class)
+		base, of := measured.OfferedPerSecond, "offered"
 		if bound.Of != "" {
 			base, of = find(bound.Of, bound.Class).GoodputPerSecond, "the goodput of phase "+bound.Of
 		}
-		if reached.GoodputPerSecond < bound.Share*base {
-			r.addViolation("goodput of class %q in phase %s is %.0f per second, below %.2f of %s, %.0f", bound.Class, bound.Phase, reached.GoodputPerSecond, bound.Share, of, base)
+		if measured.GoodputPerSecond < bound.Share*base {
+			r.addViolation("goodput of class %q in phase %s is %.0f per second, below %.2f of %s, %.0f", bound.Class, bound.Phase, measured.GoodputPerSecond, bound.Share, of, base)
 		}
 	}
 }
--- a/lab/experiment/selection.go
+++ b/lab/experiment/selection.go
@@ -67,7 +67,8 @@
 	return false
 }
 
-// evenIndexesFirst moves nodes with an even index to the front, so that the first share of the nodes is spread over the zones.
+// evenIndexesFirst moves nodes with an even index to the front, so that the first
+// share of the nodes is spread over the zones.
 func evenIndexesFirst(nodes []*mesh.Node) []*mesh.Node {
 	ordered := make([]*mesh.Node, 0, len(nodes))
 	for index := 0; index < len(nodes); index += 2 {
--- a/lab/experiment/spec.go
+++ b/lab/experiment/spec.go
@@ -138,7 +138,7 @@
 		return nil, nil, fault.Wrap(err, fault.Settings, "correct the named field", "experiment %s", path)
 	}
 	for index, step := range spec.Steps {
-		if _, known := actions[step.Action]; !known {
+		if _, found := actions[step.Action]; !found {
 			return nil, nil, fault.New(fault.Settings, "use one of the actions in lab/experiment", "step %d of %s: unknown action %q", index+1, path, step.Action)
 		}
 	}
--- a/lab/latency/latency.go
+++ b/lab/latency/latency.go
@@ -211,17 +211,17 @@
 		"failed":             f.Failed[Through],
 		"cpu_us_per_request": f.CPUPerRequest[Through].Microseconds(),
 	}
-	for path, seen := range f.Quantiles {
+	for path, quantiles := range f.Quantiles {
 		if path != Through {
 			fields[string(path)+"_failed"] = f.Failed[path]
 		}
-		fields[string(path)+"_p50_us"] = seen.P50.Microseconds()
-		fields[string(path)+"_p99_us"] = seen.P99.Microseconds()
+		fields[string(path)+"_p50_us"] = quantiles.P50.Microseconds()
+		fields[string(path)+"_p99_us"] = quantiles.P99.Microseconds()
 	}
 	for path, prefix := range map[Path]string{Through: "", Former: "former_", Relayed: "relay_"} {
-		if seen, measured := f.Quantiles[path]; measured {
-			fields[prefix+"added_p50_us"] = (seen.P50 - direct.P50).Microseconds()
-			fields[prefix+"added_p99_us"] = (seen.P99 - direct.P99).Microseconds()
+		if quantiles, measured := f.Quantiles[path]; measured {
+			fields[prefix+"added_p50_us"] = (quantiles.P50 - direct.P50).Microseconds()
+			fields[prefix+"added_p99_us"] = (quantiles.P99 - direct.P99).Microseconds()
 		}
 	}
 	if used, measured := f.CPUPerRequest[Former]; measured {
--- a/lab/latency/mesh.go
+++ b/lab/latency/mesh.go
@@ -60,7 +60,8 @@
 	return total, nil
 }
 
-// cpuMetric is the name, and the space after it, of the metric of a process's CPU time in seconds.
+// cpuMetric is the name, and the space after it, of the metric of a process's CPU
+// time in seconds.
 const cpuMetric = "process_cpu_seconds_total "
 
 func readCPU(admin string) (time.Duration, error) {
--- a/lab/link/link_test.go
+++ b/lab/link/link_test.go
@@ -33,7 +33,8 @@
 	return listener.Addr().String()
 }
 
-// echoServer starts a server that returns what it reads and closes a connection after the client has.
+// echoServer starts a server that returns what it reads and closes a connection
+// after the client has.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/lab/link/network.go
+++ b/lab/link/network.go
@@ -111,7 +111,8 @@
 	return conditions
 }
 
-// watch returns the conditions of a pair and a channel that is closed on the next change of any conditions.
+// watch returns the conditions of a pair and a channel that is closed on the next
+// change of any conditions.
 func (n *Network) watch(pair Pair) (Conditions, <-chan struct{}) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/lab/link/stream.go
+++ b/lab/link/stream.go
@@ -29,7 +29,8 @@
 	closed  bool
 }
 
-// chunk is a part of a stream that waits for its delivery. An empty chunk marks the end of the stream.
+// chunk is a part of a stream that waits for its delivery. An empty chunk marks the
+// end of the stream.
 type chunk struct {
 	arrived time.Time
 	data    []byte
@@ -104,7 +105,8 @@
 	directions.Wait()
 }
 
-// attachServer sets the connection to the server and reports whether the stream is still open. If not, it closes the connection.
+// attachServer sets the connection to the server and reports whether the stream is
+// still open. If not, it closes the connection.
 func (s *stream) attachServer(server *net.TCPConn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/load/audit.go
+++ b/lab/load/audit.go
@@ -7,7 +7,8 @@
 	"sliphead/lab/worker"
 )
 
-// Audit holds the contradictions between the results that callers received and the workers' journals.
+// Audit holds the contradictions between the results that callers received and the
+// workers' journals.
 type Audit struct {
 	WrongResponses     []string // responses reported as answered that were incomplete or of another request
 	RanDespiteNotRun   []string // attempts reported as not run that ran
--- a/lab/load/caller.go
+++ b/lab/load/caller.go
@@ -61,7 +61,8 @@
 	Start  time.Time // intended
 }
 
-// Submit sends the request and waits for its end, at most until the deadline of its class, counted from the intended start.
+// Submit sends the request and waits for its end, at most until the deadline of its
+// class, counted from the intended start.
 func (c *Caller) Submit(ctx context.Context, submission Submission) Attempt {
 	class := submission.Class
 	attempt := Attempt{
--- a/lab/load/generator.go
+++ b/lab/load/generator.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Generator generates the load of several classes against edge nodes, or workers for classes with Direct set.
+// Generator generates the load of several classes against edge nodes, or workers for
+// classes with Direct set.
 type Generator struct {
 	Caller  *Caller
 	Targets []Target
@@ -23,7 +24,8 @@
 	running  sync.WaitGroup
 }
 
-// maxInFlight limits the requests that a generator has in flight. A request above it is recorded as unsent.
+// maxInFlight limits the requests that a generator has in flight. A request above it
+// is recorded as unsent.
 const maxInFlight = 4000
 
 // resubmitDelay is the time from the end of an attempt until the caller retries.
--- a/lab/load/result.go
+++ b/lab/load/result.go
@@ -122,7 +122,8 @@
 	return slices.Clone(r.attempts)
 }
 
-// Count returns the number of attempts of a class with an ending; an empty class means all classes.
+// Count returns the number of attempts of a class with an ending; an empty class
+// means all classes.
 func (r *Result) Count(class string, ending Ending) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/lab/machines/machines.go
+++ b/lab/machines/machines.go
@@ -85,7 +85,8 @@
 	l.dropObsolete(now)
 }
 
-// dropObsolete drops the snapshots that a newer visible one has replaced. Callers hold the mutex.
+// dropObsolete drops the snapshots that a newer visible one has replaced. Callers
+// hold the mutex.
 func (l *List) dropObsolete(now time.Time) {
 	for len(l.history) > 1 && !l.history[1].since.Add(l.lag).After(now) {
 		l.history = l.history[1:]
--- a/lab/mesh/layout.go
+++ b/lab/mesh/layout.go
@@ -34,7 +34,8 @@
 	withoutLinks bool     // nodes advertise their real addresses
 }
 
-// advertisedShift returns the number to add to the second octet of an advertised address, 0 without links.
+// advertisedShift returns the number to add to the second octet of an advertised
+// address, 0 without links.
 func (l layout) advertisedShift() int {
 	if l.withoutLinks {
 		return 0
@@ -49,7 +50,8 @@
 // platform returns the real address of a stand-in of the platform.
 func (l layout) platform(port int) string { return l.address(0, 0, platformHost, port) }
 
-// advertisedPlatform returns the address at which nodes reach a stand-in of the platform through a link.
+// advertisedPlatform returns the address at which nodes reach a stand-in of the
+// platform through a link.
 func (l layout) advertisedPlatform(port int) string {
 	return l.address(l.advertisedShift(), 0, platformHost, port)
 }
@@ -144,10 +146,10 @@
 	return nodes
 }
 
-func (p *Plan) edgeCount(bound int) int {
+func (p *Plan) edgeCount(limit int) int {
 	edges := p.EdgesPerZone * len(p.Zones)
-	if bound > 0 {
-		return min(edges, bound)
+	if limit > 0 {
+		return min(edges, limit)
 	}
 	return edges
 }
--- a/lab/mesh/mesh_test.go
+++ b/lab/mesh/mesh_test.go
@@ -47,14 +47,14 @@
 
 func TestRecordReportsNodesThatReturnToAnOlderVersion(t *testing.T) {
 	record := newRecord()
-	incarnation := record.started("a")
+	incarnation := record.recordStart("a")
 	record.addLine("a", incarnation, "event=version.activated version=1.2-aa at_unix_ms=5")
 	record.addLine("a", incarnation, "event=version.activated version=1.3-bb at_unix_ms=6")
 	must.SliceEmpty(t, record.OrderViolations())
 	record.addLine("a", incarnation, "event=version.activated version=1.2-aa at_unix_ms=7")
 	must.SliceLen(t, 1, record.OrderViolations())
 
-	incarnation = record.started("a")
+	incarnation = record.recordStart("a")
 	record.addLine("a", incarnation, "event=version.activated version=1.2-aa at_unix_ms=8")
 	record.addLine("a", incarnation, "event=node.ready")
 	must.SliceLen(t, 2, record.OrderViolations())
--- a/lab/mesh/node.go
+++ b/lab/mesh/node.go
@@ -14,7 +14,8 @@
 	"sliphead/lab/process"
 )
 
-// Node is a node with its process, which can be stopped and restarted. Its methods may be called concurrently.
+// Node is a node with its process, which can be stopped and restarted. Its methods
+// may be called concurrently.
 type Node struct {
 	*PlannedNode
 	mesh     *Mesh
@@ -51,7 +52,7 @@
 		}
 		n.log = log
 	}
-	incarnation := n.mesh.Record.started(n.Name)
+	incarnation := n.mesh.Record.recordStart(n.Name)
 	onLine := func(text string) { n.mesh.Record.addLine(n.Name, incarnation, text) }
 	running, err := n.mesh.launcher.Start(n.Name, n.log, onLine, nil, n.mesh.options.NodeBinary, "node", "--settings", n.settings)
 	if err != nil {
@@ -94,9 +95,9 @@
 }
 
 // WaitExit waits until the process has exited and returns its exit code, or
-// false if it still runs when the bound has passed.
-func (n *Node) WaitExit(bound time.Duration) (int, bool) {
-	return n.process().WaitFor(bound)
+// false if it still runs when the timeout has passed.
+func (n *Node) WaitExit(timeout time.Duration) (int, bool) {
+	return n.process().WaitFor(timeout)
 }
 
 // Running reports whether the process was started and has not exited.
--- a/lab/mesh/record.go
+++ b/lab/mesh/record.go
@@ -50,8 +50,8 @@
 	return &Record{nodes: map[string]*nodeRecord{}, events: map[string]int{}, changed: make(chan struct{})}
 }
 
-// started records a start of a node's process and returns the number of its incarnation.
-func (r *Record) started(node string) int {
+// recordStart records a start of a node's process and returns the number of its incarnation.
+func (r *Record) recordStart(node string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	entry := r.nodes[node]
--- a/lab/mesh/worker.go
+++ b/lab/mesh/worker.go
@@ -65,7 +65,7 @@
 const listenTimeout = 10 * time.Second
 
 func (w *Worker) waitListening() error {
-	bound := time.After(listenTimeout)
+	timeout := time.After(listenTimeout)
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
@@ -77,7 +77,7 @@
 		case <-ticker.C:
 		case <-w.running.Ended():
 			return fault.New(fault.Worker, "read its log in the lab's directory", "worker %s exited before it listened", w.Name)
-		case <-bound:
+		case <-timeout:
 			return fault.New(fault.Worker, "read its log in the lab's directory", "worker %s did not listen in time", w.Name)
 		}
 	}
--- a/lab/process/process.go
+++ b/lab/process/process.go
@@ -122,12 +122,12 @@
 }
 
 // WaitFor waits until the process has exited and returns its exit code, or false if
-// it still runs when the bound has passed.
-func (p *Process) WaitFor(bound time.Duration) (int, bool) {
+// it still runs when the timeout has passed.
+func (p *Process) WaitFor(timeout time.Duration) (int, bool) {
 	select {
 	case <-p.exited:
 		return p.code, true
-	case <-time.After(bound):
+	case <-time.After(timeout):
 		return 0, false
 	}
 }
--- a/lab/report/lines.go
+++ b/lab/report/lines.go
@@ -27,7 +27,8 @@
 	Phase     *experiment.PhaseFigures `json:"phase,omitempty"`
 }
 
-// Write writes the report of an outcome into a directory, which it creates if it does not exist.
+// Write writes the report of an outcome into a directory, which it creates if it
+// does not exist.
 func Write(directory string, outcome *experiment.Outcome) error {
 	const remedy = "choose a directory that can be written"
 	const ownerOnly = 0o700
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -29,8 +29,8 @@
 	points plotter.XYs
 }
 
-// Draw draws the plots of the report in a directory into it and returns the paths of the files.
-// The format is svg or png.
+// Draw draws the plots of the report in a directory into it and returns the paths of
+// the files. The format is svg or png.
 func Draw(directory, format string) ([]string, error) {
 	lines, err := Read(directory)
 	if err != nil {
--- a/lab/source/mode.go
+++ b/lab/source/mode.go
@@ -19,7 +19,8 @@
 	ModeOversized Mode = "oversized" // responds with a body of oversizedBytes
 )
 
-// oversizedBytes is the size of the body under ModeOversized, meant to exceed every limit of a reader.
+// oversizedBytes is the size of the body under ModeOversized, meant to exceed every
+// limit of a reader.
 const oversizedBytes = 256 << 20
 
 // Valid reports whether m is one of the modes above.
--- a/lab/source/source.go
+++ b/lab/source/source.go
@@ -39,7 +39,8 @@
 	Readers  []string // distinct readers: node names, or IP addresses of readers that send none
 }
 
-// Service is the stand-in. Its zero value is not usable; call New. It is safe for concurrent use.
+// Service is the stand-in. Its zero value is not usable; call New. It is safe for
+// concurrent use.
 type Service struct {
 	mutex    sync.Mutex
 	history  []Configuration // ascending revisions; the last is the newest
@@ -81,7 +82,8 @@
 	return revision
 }
 
-// Equivocate replaces the document of the newest revision. It returns an error if nothing is published.
+// Equivocate replaces the document of the newest revision. It returns an error if
+// nothing is published.
 func (s *Service) Equivocate(document *declaration.Document) error {
 	encoded, err := json.Marshal(document)
 	if err != nil {
--- a/lab/store/store.go
+++ b/lab/store/store.go
@@ -21,7 +21,8 @@
 	Gone     bool
 }
 
-// Treatment is the way in which the store treats the calls of one caller. The transport implements it.
+// Treatment is the way in which the store treats the calls of one caller. The
+// transport implements it.
 type Treatment int
 
 // The treatments of calls.
@@ -34,7 +35,8 @@
 	SilentWatch                  // respond to reads, but not to watches
 )
 
-// Store is the stand-in. Its zero value is not usable; call New. It is safe for concurrent use.
+// Store is the stand-in. Its zero value is not usable; call New. It is safe for
+// concurrent use.
 type Store struct {
 	mutex             sync.Mutex
 	era               uint64 // from 1, increased by each restore from a copy
@@ -88,7 +90,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Compact drops the history and wakes waiting watches. Watches from an earlier revision fail from then on.
+// Compact drops the history and wakes waiting watches. Watches from an earlier
+// revision fail from then on.
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -171,7 +174,8 @@
 	return item, found, s.position()
 }
 
-// Range returns up to limit items with a key prefix and a key greater than after, ordered by key, and whether there are more.
+// Range returns up to limit items with a key prefix and a key greater than after,
+// ordered by key, and whether there are more.
 func (s *Store) Range(prefix, after string, limit int) (items []Item, more bool, at Position) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/worker/health.go
+++ b/lab/worker/health.go
@@ -29,7 +29,8 @@
 	recent []healthSample
 }
 
-// observe records the current health and returns the one to report: the newest that is at least as old as lag, or else the oldest recorded.
+// observe records the current health and returns the one to report: the newest that
+// is at least as old as lag, or else the oldest recorded.
 func (l *laggingHealth) observe(now time.Time, current Health) Health {
 	if l.lag <= 0 {
 		return current
--- a/lab/worker/run.go
+++ b/lab/worker/run.go
@@ -162,7 +162,8 @@
 	return body
 }
 
-// propagatedHeaders are the headers that a worker has to copy from a request to its nested calls.
+// propagatedHeaders are the headers that a worker has to copy from a request to its
+// nested calls.
 var propagatedHeaders = []string{
 	outcome.RequestID, outcome.Deadline, outcome.RetryBudget, outcome.Depth,
 	echo.HeaderNonce, echo.HeaderAttempt, echo.HeaderRunMicros,
--- a/lab/worker/worker_test.go
+++ b/lab/worker/worker_test.go
@@ -30,7 +30,8 @@
 	return started
 }
 
-// send sends a POST request with headers given as name-value pairs and reads the whole response.
+// send sends a POST request with headers given as name-value pairs and reads the
+// whole response.
 func send(t *testing.T, ctx context.Context, started *Worker, path, body string, headers ...string) (*http.Response, []byte, error) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+started.Address()+path, strings.NewReader(body))
