--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -18,7 +18,7 @@
 	Logger log.Interface
 }
 
-// startTimeout bounds the time until all nodes of a mesh are ready.
+// startTimeout bounds the time until all nodes are ready and have the first version in force.
 const startTimeout = 30 * time.Second
 
 // run is the state of a running experiment.
--- a/lab/latency/latency.go
+++ b/lab/latency/latency.go
@@ -45,7 +45,7 @@
 // Figures holds the results at one rate.
 type Figures struct {
 	Rate          float64
-	Requests      int          // of each path
+	Requests      int          // through the nodes
 	Wrong         int          // responses reported as answered that were incomplete or of another request, on all paths
 	Failed        map[Path]int // requests without a complete response
 	Quantiles     map[Path]Quantiles
--- a/lab/link/network.go
+++ b/lab/link/network.go
@@ -35,7 +35,7 @@
 	Lost          int64 // datagrams dropped by loss, a cut, a full queue or a failed send
 }
 
-// Network is a set of links. It is safe for concurrent use.
+// Network is a set of links between zones.
 type Network struct {
 	zoneOf            func(netip.Addr) string
 	mutex             sync.Mutex
--- a/lab/mesh/node.go
+++ b/lab/mesh/node.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// adminClient sends requests to the admin addresses of nodes and to workers.
+// adminClient sends requests to the admin addresses of nodes and to workers. None of
+// them may take long.
 var adminClient = &http.Client{Timeout: 2 * time.Second}
 
 // pollInterval is the time between two requests or dials while waiting.
--- a/lab/report/lines.go
+++ b/lab/report/lines.go
@@ -18,7 +18,7 @@
 // FileName is the name of the report file in the directory of a run.
 const FileName = "report.jsonl"
 
-// Line is one line of a report. Exactly one of the pointers is set.
+// Line is one line of a report. Exactly one field is set.
 type Line struct {
 	Result    log.Fields               `json:"result,omitempty"` // the figures of the result line
 	Violation string                   `json:"violation,omitempty"`
--- a/lab/source/mode.go
+++ b/lab/source/mode.go
@@ -15,7 +15,7 @@
 	ModeError     Mode = "500"       // responds with status 500
 	ModeHTML      Mode = "html"      // responds with status 200 and an HTML page
 	ModeHalf      Mode = "half"      // closes the connection after half of the body
-	ModeHang      Mode = "hang"      // does not respond until the mode changes
+	ModeHang      Mode = "hang"      // sends no response; closes the connection when the mode changes
 	ModeOversized Mode = "oversized" // responds with a body of oversizedBytes
 )
 
