--- a/internal/traffic/ack_delay_test.go
+++ b/internal/traffic/ack_delay_test.go
@@ -14,17 +14,17 @@
 // The acknowledgement timeout is longer for a node whose acknowledgements typically take long,
 // up to a third of the time left, and unchanged for a fast one.
 func TestAckTimeoutFollowsTypicalDelay(t *testing.T) {
-	signs := newAckDelays()
-	must.Zero(t, signs.typical("slow"))
+	delays := newAckDelays()
+	must.Zero(t, delays.typical("slow"))
 	for range 50 {
-		signs.observe("slow", 150*time.Millisecond)
-		signs.observe("fast", 2*time.Millisecond)
+		delays.observe("slow", 150*time.Millisecond)
+		delays.observe("fast", 2*time.Millisecond)
 	}
 	x := &exchange{deadline: time.Now().Add(600 * time.Millisecond)}
-	must.Between(t, 150*time.Millisecond, x.ackTimeout(signs.typical("slow")), 170*time.Millisecond)
-	must.Between(t, 90*time.Millisecond, x.ackTimeout(signs.typical("fast")), 100*time.Millisecond)
-	signs.observe("dead", 10*time.Second)
-	must.Between(t, 190*time.Millisecond, x.ackTimeout(signs.typical("dead")), 200*time.Millisecond)
+	must.Between(t, 150*time.Millisecond, x.ackTimeout(delays.typical("slow")), 170*time.Millisecond)
+	must.Between(t, 90*time.Millisecond, x.ackTimeout(delays.typical("fast")), 100*time.Millisecond)
+	delays.observe("dead", 10*time.Second)
+	must.Between(t, 190*time.Millisecond, x.ackTimeout(delays.typical("dead")), 200*time.Millisecond)
 }
 
 // busyAdmitter returns the admitter of a worker whose only slot is taken by a request with the
--- a/internal/traffic/ack_race_test.go
+++ b/internal/traffic/ack_race_test.go
@@ -19,7 +19,7 @@
 // An acknowledgement may arrive at the moment at which its timeout expires. Either it counts,
 // or the body is not sent. Fault: a request that was abandoned as unacknowledged ran at its
 // worker, was interrupted there, and could not be sent again.
-func TestAckRacingWithAckTimeout(t *testing.T) {
+func TestAckAtTimeoutCountsOrBodyIsNotSent(t *testing.T) {
 	const times = 300 // the scheduler decides which of the two comes first
 	for range times {
 		synctest.Test(t, ackRacingWithAckTimeout)
@@ -27,14 +27,14 @@
 }
 
 func ackRacingWithAckTimeout(t *testing.T) {
-	const silence = 300 * time.Millisecond
+	const ackTimeout = 300 * time.Millisecond
 	near, far := net.Pipe()
 	sent := make(chan bool, 1)
 	go func() {
 		reader := bufio.NewReader(far)
 		_, err := http.ReadRequest(reader)
 		must.NoError(t, err)
-		time.Sleep(silence)
+		time.Sleep(ackTimeout)
 		_, _ = io.WriteString(far, "HTTP/1.1 100 Continue\r\n\r\n") // fails if the caller has closed the connection
 		_, err = io.ReadFull(reader, make([]byte, len("cards")))
 		sent <- err == nil
@@ -48,7 +48,7 @@
 		request: request, context: t.Context(), deadline: time.Now().Add(time.Minute), concurrentBody: true,
 		route: &snapshot.Route{}, body: body{present: true, length: 5, whole: []byte("cards")},
 	}
-	to := &hop{pool: newPool(sealedDial(dial, time.Second), 1, 0), address: "node", offer: true, ackTimeout: silence}
+	to := &hop{pool: newPool(sealedDial(dial, time.Second), 1, 0), address: "node", expectBuffered: true, ackTimeout: ackTimeout}
 	got, failure := send(x, to, func(*http.Response) *result { return nil })
 	_ = near.Close()
 	if bodySent := <-sent; bodySent {
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -142,7 +142,7 @@
 	Kind     string    // groups requests with similar run times; "" groups by class
 	Deadline time.Time // after which a response is of no use
 	Waiter   W         // copied to the ticket
-	// Last, if set, is the deadline for a late response to a caller that will not retry: a
+	// LateDeadline, if set, is the deadline for a late response to a caller that will not retry: a
 	// request that cannot meet Deadline then joins the late queue.
 	LateDeadline time.Time
 }
@@ -231,16 +231,16 @@
 
 // enqueue inserts a request into a list, before the given element or, if that is nil, at
 // the end.
-func (q *Queue[W]) enqueue(ticket *Ticket[W], waits *list.List, before *list.Element, now time.Time) {
-	const marginShare = 20
-	margin := max(q.expectedRun(ticket.kind, now)/2, ticket.deadline.Sub(now)/marginShare)
+func (q *Queue[W]) enqueue(ticket *Ticket[W], waiting *list.List, before *list.Element, now time.Time) {
+	const marginDivisor = 20
+	margin := max(q.expectedRun(ticket.kind, now)/2, ticket.deadline.Sub(now)/marginDivisor)
 	ticket.GrantBy = ticket.deadline.Add(-margin)
 	ticket.Verdict = Queued
-	ticket.queuedIn = waits
+	ticket.queuedIn = waiting
 	if before == nil {
-		ticket.element = waits.PushBack(ticket)
+		ticket.element = waiting.PushBack(ticket)
 	} else {
-		ticket.element = waits.InsertBefore(ticket, before)
+		ticket.element = waiting.InsertBefore(ticket, before)
 	}
 	q.length++
 }
--- a/internal/traffic/admission/class.go
+++ b/internal/traffic/admission/class.go
@@ -88,8 +88,8 @@
 // reserve is the number of queue places that each class has to itself: a quarter of the
 // queue, divided evenly among the classes.
 func (q *Queue[W]) reserve() int {
-	const share = 4
-	return q.settings.Length / (share * len(q.classQueues))
+	const reservedDivisor = 4
+	return q.settings.Length / (reservedDivisor * len(q.classQueues))
 }
 
 // hasRoom reports whether the class may take a place without using the places reserved for
--- a/internal/traffic/admission/fair.go
+++ b/internal/traffic/admission/fair.go
@@ -79,7 +79,7 @@
 
 // queuedThrough returns the work queued in the classes up to and including the given one,
 // and the queue of that class, nil if it has none.
-func (q *Queue[W]) queuedThrough(class Class, now time.Time) (waits backlog, own *classQueue) {
+func (q *Queue[W]) queuedThrough(class Class, now time.Time) (through backlog, own *classQueue) {
 	for _, queue := range q.classQueues {
 		if queue.class > class {
 			break
@@ -88,14 +88,14 @@
 			own = queue
 		}
 		for element := queue.waiting.Front(); element != nil; element = element.Next() {
-			waits.add(q.expectedRun(element.Value.(*Ticket[W]).kind, now))
+			through.add(q.expectedRun(element.Value.(*Ticket[W]).kind, now))
 		}
 	}
-	return waits, own
+	return through, own
 }
 
 // meetsDeadlineAfter reports whether a queued request still meets its deadline after the
 // given wait.
-func (q *Queue[W]) meetsDeadlineAfter(waits *Ticket[W], wait time.Duration, now time.Time) bool {
-	return wait <= waits.deadline.Sub(now)-q.conservativeRun(waits.kind, now)
+func (q *Queue[W]) meetsDeadlineAfter(ticket *Ticket[W], wait time.Duration, now time.Time) bool {
+	return wait <= ticket.deadline.Sub(now)-q.conservativeRun(ticket.kind, now)
 }
--- a/internal/traffic/admission/fair_test.go
+++ b/internal/traffic/admission/fair_test.go
@@ -129,9 +129,9 @@
 		for range rapid.IntRange(1, 200).Draw(r, "count") {
 			class := ClassOfRank(rapid.IntRange(-1, 30).Draw(r, "tenant"), rapid.IntRange(-1, 30).Draw(r, "route"))
 			_, decided := queue.Admit(Arrival[Class]{Class: class, Deadline: deadline, Waiter: class}, start)
-			for _, gaveWay := range decided {
-				must.Eq(r, Rejected, gaveWay.Verdict)
-				must.Greater(r, class, gaveWay.Waiter)
+			for _, evicted := range decided {
+				must.Eq(r, Rejected, evicted.Verdict)
+				must.Greater(r, class, evicted.Waiter)
 			}
 			must.LessEq(r, length, queue.Waiting())
 			must.LessEq(r, maxClassQueues+length, len(queue.classQueues))
--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -12,7 +12,7 @@
 // free slot and the rate limiter's permission. Requests that wait for the limiter wait in the
 // same queues and in the same order as those that wait for a slot.
 //
-// Alternatives considered: rejecting requests above the rate at once, as for cold workers (of
+// Alternatives considered: rejecting requests above the rate immediately, as for cold workers (of
 // two concurrent requests one is lost although the next grant is moments away, and urgent
 // requests get no preference); slots in proportion to the limit (3 requests per second and
 // runs of 0.1 s would be a third of a slot).
--- a/internal/traffic/admit.go
+++ b/internal/traffic/admit.go
@@ -16,19 +16,19 @@
 
 // admitter is the admission queue of the local worker. It is safe for concurrent use.
 type admitter struct {
-	mutex       sync.Mutex
-	queue       *admission.Queue[*exchange]
-	link        admission.Link         // network link of this machine
-	holders     map[*exchange]struct{} // requests that occupy a slot
-	service     string                 // of the local worker
-	callers     *callers
-	cold        coldstart.Guard // of the local worker
-	recorded    snapshot.Local  // the latest catalog record of the local worker
-	warmWaits   int             // requests that wait until the worker is warm
-	rejects     admission.RejectionRate
-	report      workerReport   // what the local worker has reported about itself
-	closedUntil closing.Pauses // by urgency: until when callers' nodes are asked to send nothing, while the worker reports a limit
-	fillTimer   *time.Timer    // fills the queue at a set time, without a request completing; nil: not used yet
+	mutex     sync.Mutex
+	queue     *admission.Queue[*exchange]
+	link      admission.Link         // network link of this machine
+	holders   map[*exchange]struct{} // requests that occupy a slot
+	service   string                 // of the local worker
+	callers   *callers
+	cold      coldstart.Guard // of the local worker
+	recorded  snapshot.Local  // the latest catalog record of the local worker
+	warmWaits int             // requests that wait until the worker is warm
+	rejects   admission.RejectionRate
+	report    workerReport   // what the local worker has reported about itself
+	pauses    closing.Pauses // while the worker reports a limit: until when callers' nodes are asked to send no requests
+	fillTimer *time.Timer    // fills the queue at a set time, without a request completing; nil: not used yet
 }
 
 func newAdmitter(service string, limits Limits) *admitter {
@@ -116,7 +116,7 @@
 		arrival.Deadline = earlier(x.deadline, x.started.Add(x.class.objective))
 	}
 	if x.class.callsFailedBefore {
-		arrival.Deadline = now.Add(-1) // to the queue of late requests, so that requests more likely to succeed run first
+		arrival.Deadline = now.Add(-1) // has passed, so that it joins the late queue: requests more likely to succeed run first
 	}
 	return a.queue.Admit(arrival, now)
 }
@@ -128,7 +128,7 @@
 	if a.callers.internal(x.route.Name) {
 		return admission.Internal
 	}
-	return admission.ClassOfRank(x.class.tenant, x.class.rank)
+	return admission.ClassOfRank(x.class.tenantPriority, x.class.rank)
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -221,14 +221,14 @@
 	rank := a.classOf(x)
 	load.Wait, load.Run = a.queue.Forecast(rank, x.route.Name, now)
 	load.Link = a.linkWait(x, now)
-	load.PausedFor = max(a.cold.PausedFor(x.class.urgency(), now), a.closedUntil.Remaining(x.class.urgency(), now))
+	load.PausedFor = max(a.cold.PausedFor(x.class.urgency(), now), a.pauses.Remaining(x.class.urgency(), now))
 	load.RejectShare = a.rejects.Share(now)
 	return load
 }
 
 // acknowledge sends the caller's node an acknowledgement that the request has arrived,
-// because it is about to wait or to run. It is left out where the body is still to be
-// requested, since requesting it acknowledges the request as well, unless the request is queued.
+// because it is about to wait or to run. A request that is granted immediately and whose body is
+// still to be requested needs none: requesting the body acknowledges it as well.
 func (x *exchange) acknowledge() {
 	if x.granted != nil || !x.bodyAwaited {
 		x.sendAck()
--- a/internal/traffic/alternative.go
+++ b/internal/traffic/alternative.go
@@ -50,8 +50,8 @@
 	return wait <= x.rerouteTime
 }
 
-// refuseUnlessQueued returns the refusal of a request that must not queue at a full worker, nil if it may
-// be granted a slot or queued.
+// refuseUnlessQueued returns the refusal of a request that must not queue at a full worker, nil
+// if it may be granted a slot or queued.
 func (a *admitter) refuseUnlessQueued(x *exchange) *result {
 	now := time.Now()
 	if a.queue.Free(now) {
--- a/internal/traffic/at_most_once_test.go
+++ b/internal/traffic/at_most_once_test.go
@@ -217,7 +217,7 @@
 
 // The health observer of a worker must receive a success for each complete response and a failure
 // for each request that the worker failed, and nothing for refusals and timeouts.
-func TestWorkerHealthObservations(t *testing.T) {
+func TestOnlyWorkerFailuresAreObserved(t *testing.T) {
 	for behaviour, expected := range map[string]string{
 		"ok": "+", "lie": "+", "close": "-", "half": "-", "half-long": "-", "foreign": "-", "unframed": "-",
 		"shed": "", "hang": "",
--- a/internal/traffic/balance/acceptance.go
+++ b/internal/traffic/balance/acceptance.go
@@ -25,9 +25,9 @@
 	priorAcceptance = 0.5         // assumed probability of acceptance without recent offers
 	priorOffers     = 2           // number of offers that the prior counts for
 	// minAcceptance is the probability of acceptance below which a zone gets no further
-	// offers. An offer takes about 0.6 kB between zones; by bytePrice, that is set against
-	// the value to a caller of being served now instead of after a retry: a third of the
-	// credit.
+	// offers. It weighs the bytes of an offer between zones (about 0.6 kB, by bytePrice)
+	// against the value to a caller of being served now instead of after a retry: a third
+	// of the credit.
 	minAcceptance = 0.12
 )
 
--- a/internal/traffic/balance/balance_test.go
+++ b/internal/traffic/balance/balance_test.go
@@ -85,8 +85,8 @@
 	must.Positive(t, counts["b"]) // it is tried again from time to time
 }
 
-// A failed endpoint is probed by one request at a time after its backoff. All requests sent
-// there before the first of them had failed were lost.
+// A failed endpoint is probed by one request at a time after its backoff. Fault: all requests
+// sent there before the first of them had failed were lost.
 func TestFailedEndpointIsProbedByOneRequest(t *testing.T) {
 	b := newBalancer()
 	endpoints := []snapshot.Endpoint{endpoint("a", "z1", "r1"), endpoint("b", "z2", "r1")}
@@ -102,7 +102,7 @@
 }
 
 // An unresponsive node gets no request until its backoff is over, and then only one, even
-// if all other endpoints reject. Requests spent their time on such nodes.
+// if all other endpoints reject. Fault: requests spent their time on such nodes.
 func TestUnresponsiveNodeIsBackedOff(t *testing.T) {
 	b := newBalancer()
 	endpoints := []snapshot.Endpoint{endpoint("a", "z1", "r1")}
--- a/internal/traffic/balance/distance_test.go
+++ b/internal/traffic/balance/distance_test.go
@@ -11,9 +11,9 @@
 
 const remoteRoundTrip = 40 * time.Millisecond
 
-// newDistantBalancer returns a balancer that has measured the round trip to a zone of
+// newRemoteBalancer returns a balancer that has measured the round trip to a zone of
 // another region, and an endpoint there.
-func newDistantBalancer() (*Balancer, snapshot.Endpoint) {
+func newRemoteBalancer() (*Balancer, snapshot.Endpoint) {
 	b := newBalancer()
 	far := endpoint("far", "z9", "r2")
 	b.Ended(start, "probe", far, Observation{RoundTrip: remoteRoundTrip + 3*time.Millisecond})
@@ -31,7 +31,7 @@
 // and for zones of the same region without measurements. A path that has become longer is
 // detected after two windows.
 func TestDistanceIsMinimumRoundTrip(t *testing.T) {
-	b, far := newDistantBalancer()
+	b, far := newRemoteBalancer()
 	must.Eq(t, remoteRoundTrip, roundTrip(b, far))
 	must.Eq(t, remoteRoundTrip, roundTrip(b, endpoint("other", "z9", "r2")))
 	must.Eq(t, remoteRoundTrip, roundTrip(b, endpoint("beside", "z8", "r2")))
@@ -54,7 +54,7 @@
 // little slower, because the remote one costs 40 ms of network time; it goes to the remote
 // one if the near one would be late. A body that is sent on request takes two round trips.
 func TestNetworkTimeCountsAgainstObjective(t *testing.T) {
-	b, far := newDistantBalancer()
+	b, far := newRemoteBalancer()
 	near := endpoint("near", "z1", "r1")
 	endpoints := []snapshot.Endpoint{near, far}
 	runs := func(nearRun, farRun time.Duration) {
@@ -75,7 +75,7 @@
 // only one. Its node would be declared unresponsive while the acknowledgement is still on
 // its way, and its region unreachable after a few such calls.
 func TestEndpointWithTooLongNetworkTimeIsSkipped(t *testing.T) {
-	b, far := newDistantBalancer()
+	b, far := newRemoteBalancer()
 	need := Need{Route: "probe", Objective: time.Millisecond, Deadline: remoteRoundTrip}
 	must.Eq(t, -1, b.Cheapest(start, need, []snapshot.Endpoint{far}, nil).Index)
 	need.Deadline = 2 * remoteRoundTrip // the acknowledgement would arrive just when the attempt is abandoned
@@ -91,7 +91,7 @@
 func TestOwnRegionIsPreferredWhileInTime(t *testing.T) {
 	settings := DefaultSettings("z1", "r1")
 	settings.RemoteByteFactor = 4
-	b, far := newDistantBalancer()
+	b, far := newRemoteBalancer()
 	b.settings = settings
 	mid := endpoint("mid", "z2", "r1")
 	endpoints := []snapshot.Endpoint{far, mid}
--- a/internal/traffic/balance/forecast.go
+++ b/internal/traffic/balance/forecast.go
@@ -26,9 +26,9 @@
 const (
 	responseTimeWeight = 0.05  // for the response time relative to the objective: a slot is free again sooner
 	crossingPrice      = 0.02  // for leaving the zone, in addition to the bytes
-	bytePrice          = 0.035 // for each kilobyte that leaves the zone: with crossingPrice, 2 kB are worth 1 in 11 more responses in time
+	bytePrice          = 0.035 // for each kilobyte that leaves the zone: with crossingPrice, 2 kB are sent to another zone if this makes 1 in 11 more responses arrive in time
 	queuePrice         = 0.05  // for waiting for a slot
-	lapsedPrice        = 0.1   // for an endpoint whose store record is gone without notice of leaving
+	lapsedPrice        = 0.1   // for an endpoint whose store record was removed without notice of leaving
 	failingPrice       = 100   // for an endpoint that is backed off
 	pausedPrice        = 50    // for one that asked for no more requests, if the caller will not retry
 	noise              = 0.02  // maximum random addition, so that nodes do not all choose the same endpoint
@@ -64,13 +64,13 @@
 
 // Cheapest returns the endpoint with the lowest expected cost and counts the request as in
 // flight there until Ended. It skips excluded indices, endpoints that asked for no more
-// requests (unless need.FinalAttempt), unresponsive nodes except for an occasional trial, regions
+// requests (unless need.FinalAttempt), unresponsive nodes except for an occasional probe, regions
 // that are unreachable, and, after a rejection, other zones that are unlikely to have
 // capacity.
 func (b *Balancer) Cheapest(now time.Time, need Need, endpoints []snapshot.Endpoint, excluded []int) Choice {
 	choice := Choice{Index: -1}
 	best, second := math.Inf(1), math.Inf(1)
-	inTimeElsewhere := false
+	alternativeInTime := false
 	var chosen estimate
 	for index := range endpoints {
 		if slices.Contains(excluded, index) || b.isSkipped(now, need, &endpoints[index]) {
@@ -82,7 +82,7 @@
 		}
 		paused := expected.state.pausedUntil[need.Urgency].Sub(now)
 		if paused > 0 {
-			choice.notePaused(paused)
+			choice.recordPaused(paused)
 		}
 		if paused > 0 && !need.FinalAttempt {
 			continue
@@ -92,7 +92,7 @@
 			price += pausedPrice
 			free = false
 		}
-		inTimeElsewhere = inTimeElsewhere || free && expected.inTime(need)
+		alternativeInTime = alternativeInTime || free && expected.inTime(need)
 		if price < best {
 			if free || choice.Index >= 0 && chosen.free && !chosen.state.isBackedOff(now) {
 				second = min(second, best)
@@ -105,7 +105,7 @@
 	if choice.Index < 0 {
 		return choice
 	}
-	choice.LateHere = inTimeElsewhere && !chosen.inTime(need)
+	choice.LateHere = alternativeInTime && !chosen.inTime(need)
 	choice.HasAlternative = second < best+b.waitPrice(need, &endpoints[choice.Index], chosen)
 	chosen.state.inFlight++
 	chosen.state.used = now
@@ -114,8 +114,8 @@
 	return choice
 }
 
-// notePaused records that an endpoint takes no such requests for a time.
-func (c *Choice) notePaused(paused time.Duration) {
+// recordPaused records that an endpoint takes no such requests for a time.
+func (c *Choice) recordPaused(paused time.Duration) {
 	if c.ResumesAfter == 0 || paused < c.ResumesAfter {
 		c.ResumesAfter = paused
 	}
@@ -202,7 +202,7 @@
 }
 
 // isUnreachable reports whether the endpoint's node was unresponsive and must not be tried
-// now: a request there would spend its time in vain.
+// now: a request there would use up its time without a response.
 func (s *endpointState) isUnreachable(now time.Time) bool { return s.unreachable && s.isBackedOff(now) }
 
 // loss is the price of a wait and a run: the credit lost plus the time spent. Without an
--- a/internal/traffic/balance/observe.go
+++ b/internal/traffic/balance/observe.go
@@ -15,37 +15,37 @@
 )
 
 // Ended ends a request that Pick or Cheapest counted, and records its outcome.
-func (b *Balancer) Ended(now time.Time, route string, endpoint snapshot.Endpoint, seen Observation) {
+func (b *Balancer) Ended(now time.Time, route string, endpoint snapshot.Endpoint, observed Observation) {
 	state := b.stateOf(endpoint, now)
 	state.inFlight = max(0, state.inFlight-1)
-	if seen.HasLoad {
-		state.load = seen.Load
+	if observed.HasLoad {
+		state.load = observed.Load
 		state.loadAt = now
-		state.pausedUntil[seen.Urgency] = now.Add(seen.Load.PausedFor)
-		state.setForecast(route, seen.Load, now)
+		state.pausedUntil[observed.Urgency] = now.Add(observed.Load.PausedFor)
+		state.setForecast(route, observed.Load, now)
 	}
-	if endpoint.Zone != b.settings.Zone && (seen.Rejected || !seen.Failed) {
-		b.recordOffer(now, endpoint.Zone, route, !seen.Rejected)
+	if endpoint.Zone != b.settings.Zone && (observed.Rejected || !observed.Failed) {
+		b.recordOffer(now, endpoint.Zone, route, !observed.Rejected)
 	}
-	b.recordRoundTrip(now, &endpoint, seen.RoundTrip)
-	b.recordReachability(now, &endpoint, seen)
-	state.unreachable = seen.Failed && seen.Unreachable
-	if seen.Failed {
+	b.recordRoundTrip(now, &endpoint, observed.RoundTrip)
+	b.recordReachability(now, &endpoint, observed)
+	state.unreachable = observed.Failed && observed.Unreachable
+	if observed.Failed {
 		b.recordFailure(state, now)
 		return
 	}
 	state.failures = 0
 	state.backoffUntil = time.Time{}
-	if seen.Kilobytes > 0 {
-		b.recordSize(route, seen.Kilobytes)
+	if observed.Kilobytes > 0 {
+		b.recordSize(route, observed.Kilobytes)
 	}
-	if seen.Latency > 0 {
-		b.recordLatency(route, state, seen.Latency, now)
+	if observed.Latency > 0 {
+		b.recordLatency(route, state, observed.Latency, now)
 	}
 }
 
 // recordFailure backs the endpoint off exponentially, with jitter so that nodes do not all
-// return to it at once.
+// return to it at the same time.
 func (b *Balancer) recordFailure(state *endpointState, now time.Time) {
 	state.backoffUntil = now.Add(b.backoff(state.failures))
 	state.failures++
--- a/internal/traffic/balance/region.go
+++ b/internal/traffic/balance/region.go
@@ -25,16 +25,16 @@
 }
 
 // recordReachability records whether an endpoint of another region responded.
-func (b *Balancer) recordReachability(now time.Time, endpoint *snapshot.Endpoint, seen Observation) {
+func (b *Balancer) recordReachability(now time.Time, endpoint *snapshot.Endpoint, observed Observation) {
 	if !b.isRemote(endpoint) {
 		return
 	}
 	region := b.regions[endpoint.Region]
 	region.probing = false
 	switch {
-	case seen.RoundTrip > 0 || seen.HasLoad:
+	case observed.RoundTrip > 0 || observed.HasLoad:
 		region = regionState{}
-	case seen.Unreachable: // an attempt ended by its caller or deadline shows nothing
+	case observed.Unreachable: // an attempt ended by its caller or deadline shows nothing
 		region.failures++
 		if region.failures >= unreachableThreshold {
 			region.retryAt = now.Add(b.backoff(region.failures - unreachableThreshold))
--- a/internal/traffic/balance/region_test.go
+++ b/internal/traffic/balance/region_test.go
@@ -10,8 +10,8 @@
 	"sliphead/internal/snapshot"
 )
 
-// distantWorkers returns workers of another region, each at a node of its own.
-func distantWorkers(count int) []snapshot.Endpoint {
+// remoteWorkers returns workers of another region, each at a node of its own.
+func remoteWorkers(count int) []snapshot.Endpoint {
 	var endpoints []snapshot.Endpoint
 	for index := range count {
 		endpoints = append(endpoints, endpoint(fmt.Sprintf("far-%d", index), fmt.Sprintf("z%d", 5+index%2), "r2"))
@@ -27,7 +27,7 @@
 func TestUnreachableRegionCostsFewRequests(t *testing.T) {
 	const busy = 50 * time.Millisecond // between requests that have no other endpoint
 	b := newBalancer()
-	endpoints := distantWorkers(30)
+	endpoints := remoteWorkers(30)
 	need := Need{Route: "read", Objective: time.Second}
 	attempts := 0
 	for now := start; now.Before(start.Add(time.Hour)); now = now.Add(busy) {
@@ -48,7 +48,7 @@
 // so that the others get requests first.
 func TestRegionRecoversWithoutBurst(t *testing.T) {
 	b := newBalancer()
-	endpoints := distantWorkers(6)
+	endpoints := remoteWorkers(6)
 	need := Need{Route: "read", Objective: time.Second}
 	for index := range unreachableThreshold {
 		b.Ended(start, "read", endpoints[index], unreachable)
@@ -66,13 +66,13 @@
 // Rejections and worker failures are responses: machines that are down or full do not make
 // their region unreachable.
 func TestResponsiveNodesKeepRegionReachable(t *testing.T) {
-	for _, sign := range []Observation{{RoundTrip: remoteRoundTrip}, {Rejected: true, HasLoad: true}, {Failed: true, RoundTrip: remoteRoundTrip}} {
+	for _, response := range []Observation{{RoundTrip: remoteRoundTrip}, {Rejected: true, HasLoad: true}, {Failed: true, RoundTrip: remoteRoundTrip}} {
 		b := newBalancer()
-		endpoints := distantWorkers(8)
+		endpoints := remoteWorkers(8)
 		for index := range 2 * (unreachableThreshold - 1) {
 			b.Ended(start, "read", endpoints[index], unreachable)
 			if index == unreachableThreshold-2 {
-				b.Ended(start, "read", endpoints[7], sign)
+				b.Ended(start, "read", endpoints[7], response)
 			}
 		}
 		must.NotEq(t, -1, b.Cheapest(start, Need{Route: "read", Objective: time.Second}, endpoints, nil).Index)
@@ -83,7 +83,7 @@
 // unreachable, and the next request probes it.
 func TestAbandonedAttemptKeepsRegionUnreachable(t *testing.T) {
 	b := newBalancer()
-	endpoints := distantWorkers(4)
+	endpoints := remoteWorkers(4)
 	need := Need{Route: "read", Objective: time.Second}
 	for index := range unreachableThreshold {
 		b.Ended(start, "read", endpoints[index], unreachable)
@@ -102,7 +102,7 @@
 // probe it.
 func TestReleasedChoiceIsNoProbeOfRegion(t *testing.T) {
 	b := newBalancer()
-	endpoints := distantWorkers(4)
+	endpoints := remoteWorkers(4)
 	need := Need{Route: "read", Objective: time.Second}
 	for index := range unreachableThreshold {
 		b.Ended(start, "read", endpoints[index], unreachable)
--- a/internal/traffic/budget.go
+++ b/internal/traffic/budget.go
@@ -20,9 +20,9 @@
 
 // retryTokens are the retries for one service that a node may still make.
 type retryTokens struct {
-	tokens       float64
-	updated      time.Time // when tokens was last updated
-	lastChanceAt time.Time // time of the latest take with lastChance
+	tokens        float64
+	updated       time.Time // when tokens was last updated
+	lastAttemptAt time.Time // time of the latest take with lastAttempt
 }
 
 // Shares of the bounds that are used. The unused part of the ratio covers what a node cannot
@@ -58,23 +58,23 @@
 }
 
 // take reports whether one more arrival is allowed, and counts it. While tokens are scarce
-// they are reserved for requests with lastChance, which nobody sends again if they are
+// they are reserved for requests with lastAttempt, which nobody sends again if they are
 // refused. Other callers retry by themselves, which costs no token.
-func (b *serviceBudget) take(service string, nodes int, lastChance bool, now time.Time) bool {
+func (b *serviceBudget) take(service string, nodes int, lastAttempt bool, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	bucket := b.tokensOf(service, nodes, now)
-	if lastChance {
-		bucket.lastChanceAt = now
+	if lastAttempt {
+		bucket.lastAttemptAt = now
 	}
-	if bucket.tokens < 1 || !lastChance && now.Sub(bucket.lastChanceAt) < scarcityPeriod && bucket.tokens < b.capacity(nodes)*ampleShare {
+	if bucket.tokens < 1 || !lastAttempt && now.Sub(bucket.lastAttemptAt) < scarcityPeriod && bucket.tokens < b.capacity(nodes)*ampleShare {
 		return false
 	}
 	bucket.tokens--
 	return true
 }
 
-// Tokens count as scarce for scarcityPeriod after a take with lastChance, unless the node
+// Tokens count as scarce for scarcityPeriod after a take with lastAttempt, unless the node
 // holds at least ampleShare of its capacity.
 const (
 	scarcityPeriod = time.Second
--- a/internal/traffic/budget_test.go
+++ b/internal/traffic/budget_test.go
@@ -49,8 +49,8 @@
 	for range requests {
 		node := m.nodes[m.random.IntN(inUse)]
 		node.deposit("shop", len(m.nodes), m.now)
-		lastChance := m.random.IntN(2) == 0
-		for m.random.Float64() < rejected && node.take("shop", len(m.nodes), lastChance, m.now) {
+		lastAttempt := m.random.IntN(2) == 0
+		for m.random.Float64() < rejected && node.take("shop", len(m.nodes), lastAttempt, m.now) {
 			repeats++
 		}
 	}
@@ -70,8 +70,8 @@
 		return total
 	}
 	for end := 1; end < len(m.repeats)+budgetWindow; end++ {
-		owed := max(sum(m.requests, end), sum(m.requests, end-budgetWindow), sum(m.requests, end-budgetWindow/2))
-		worst = max(worst, float64(sum(m.repeats, end))-m.limits.RetryRatio*float64(owed)-float64(m.limits.RetrySlack))
+		counted := max(sum(m.requests, end), sum(m.requests, end-budgetWindow), sum(m.requests, end-budgetWindow/2))
+		worst = max(worst, float64(sum(m.repeats, end))-m.limits.RetryRatio*float64(counted)-float64(m.limits.RetrySlack))
 	}
 	return worst
 }
@@ -114,14 +114,14 @@
 	}
 }
 
-// Scarce retries are reserved for requests with lastChance; otherwise any request gets one.
-func TestScarceRetriesAreReservedForLastChances(t *testing.T) {
+// Scarce retries are reserved for requests with lastAttempt; otherwise any request gets one.
+func TestScarceRetriesAreReservedForLastAttempts(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	b := newServiceBudget(Limits{RetryRatio: 0.2, RetrySlack: 204})
 	for range 40 {
 		b.deposit("shop", 82, now)
 	}
-	must.True(t, b.take("shop", 82, false, now)) // no request with lastChance competes for it
+	must.True(t, b.take("shop", 82, false, now)) // no request with lastAttempt competes for it
 	for range 4 {
 		b.deposit("shop", 82, now)
 	}
--- a/internal/traffic/caller_disconnect_test.go
+++ b/internal/traffic/caller_disconnect_test.go
@@ -17,8 +17,8 @@
 // condition holds.
 func (m *catalogMesh) disconnectAfter(method, path, id string, condition func() bool) {
 	m.t.Helper()
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
+	ctx, disconnect := context.WithCancel(context.Background())
+	defer disconnect()
 	request, err := http.NewRequestWithContext(ctx, method, m.nodes[0].outbound+path, strings.NewReader(bodyOf(method)))
 	must.NoError(m.t, err)
 	request.Host = "shop.example"
@@ -33,7 +33,7 @@
 		ended <- err
 	}()
 	waitFor(m.t, condition)
-	leave()
+	disconnect()
 	must.Error(m.t, <-ended)
 }
 
@@ -88,7 +88,7 @@
 		m.disconnectAfter(method, path, "r-left", func() bool { return m.nodes[1].in.Queued() == 1 })
 		waitFor(t, func() bool { return m.nodes[1].in.Queued() == 0 })
 		must.Eq(t, 2, m.nodes[1].in.Busy()) // it was removed before a slot was free
-		close(m.nodes[1].worker.gate)
+		close(m.nodes[1].worker.unblock)
 		must.Eq(t, http.StatusOK, <-answered)
 		must.Eq(t, http.StatusOK, <-answered)
 		must.SliceNotContains(t, m.nodes[1].worker.ran, "r-left")
--- a/internal/traffic/callers.go
+++ b/internal/traffic/callers.go
@@ -5,8 +5,8 @@
 // callers detects internal routes: those that only workers of other services call, while
 // they run requests. Callers outside the mesh use all machines, including those of the local
 // worker's own service, so a route that is never called from there is internal. Refusing an
-// internal call fails the request that made it, which cannot be retried as a caller can
-// retry; such a call waits until its deadline instead. It is safe for concurrent use.
+// internal call fails the run that made it, and a run cannot retry the call later as a caller
+// can; an internal call therefore waits until its deadline instead. It is safe for concurrent use.
 type callers struct {
 	mutex  sync.Mutex
 	routes map[string]*callCounts
@@ -19,7 +19,7 @@
 const (
 	minInternalCalls = 50  // requests without any from the worker's own service after which a route is internal
 	maxCallCount     = 800 // sum at which both counts are halved, so that older requests lose weight
-	maxTrackedRoutes = 512 // at most; beyond it all counts are dropped
+	maxTrackedRoutes = 512 // maximum number of routes; beyond it, all counts are dropped
 )
 
 func newCallers() *callers { return &callers{routes: map[string]*callCounts{}} }
--- a/internal/traffic/callers_test.go
+++ b/internal/traffic/callers_test.go
@@ -73,12 +73,12 @@
 // is more likely to fail again than a first attempt.
 func TestRunsWithFailedCallsAreAdmittedLast(t *testing.T) {
 	a := newAdmitter("shop", Limits{Slots: 1, QueueLength: 10})
-	request := func(unlikely bool) *exchange {
+	request := func(callsFailed bool) *exchange {
 		now := time.Now()
 		return &exchange{
 			instance: "i-1", caller: "shop", started: now, deadline: now.Add(time.Hour),
 			route: &snapshot.Route{Route: declaration.Route{Name: "order"}},
-			class: class{rank: 1, objective: time.Hour, callerRetried: unlikely, callsFailedBefore: unlikely},
+			class: class{rank: 1, objective: time.Hour, callerRetried: callsFailed, callsFailedBefore: callsFailed},
 		}
 	}
 	running, refused := a.arrive(request(false))
--- a/internal/traffic/catalog_mesh_test.go
+++ b/internal/traffic/catalog_mesh_test.go
@@ -46,14 +46,14 @@
 	bodies         []string
 	misdirected    int           // requests that were for another instance
 	responseFields string        // header lines added to its own responses, each with its line end
-	gate           chan struct{} // closed to let "wait" respond
+	unblock        chan struct{} // closed to let "wait" respond
 	disconnected   chan struct{} // receives a value when "watch" has seen the connection end
 }
 
 func newInstanceWorker(t testing.TB, id string) *instanceWorker {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	w := &instanceWorker{id: id, listener: listener, gate: make(chan struct{}), disconnected: make(chan struct{}, 8)}
+	w := &instanceWorker{id: id, listener: listener, unblock: make(chan struct{}), disconnected: make(chan struct{}, 8)}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -130,7 +130,7 @@
 		if behaviour == "early" { // responds before it has read the body, and reads no more
 			w.record(request, "")
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 413 Long\r\n%s\r\nContent-Length: 4\r\n\r\nlong", w.headers(request))
-			<-w.gate
+			<-w.unblock
 			return
 		}
 		body, err := io.ReadAll(request.Body)
@@ -177,14 +177,14 @@
 	lateResponse := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\n%s: signed\r\nContent-Length: 5\r\n\r\nother", testProtocol.RequestID, testProtocol.Signature)
 	switch behaviour {
 	case "wait":
-		<-w.gate
+		<-w.unblock
 	case "watch": // runs until the caller disconnects
 		_, _ = conn.Read(make([]byte, 1))
 		w.disconnected <- struct{}{}
 		return false
 	case "wait-error", "error":
 		if behaviour == "wait-error" {
-			<-w.gate
+			<-w.unblock
 		}
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 500 Error\r\n%s\r\nContent-Length: 5\r\n\r\nerror", w.headers(request))
 		return true
--- a/internal/traffic/choose.go
+++ b/internal/traffic/choose.go
@@ -21,7 +21,7 @@
 }
 
 // pick chooses an endpoint and reports whether another one seems to be free.
-func (c *chooser) pick(x *exchange, tried []int) (index int, another bool) {
+func (c *chooser) pick(x *exchange, tried []int) (index int, hasAlternative bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	index = c.balancer.Pick(time.Now(), x.route.Endpoints, tried)
@@ -55,12 +55,12 @@
 	var tried []int
 	reroutes := 0
 	for {
-		index, another := out.chooser.pick(x, tried)
+		index, hasAlternative := out.chooser.pick(x, tried)
 		if index < 0 {
 			break
 		}
 		endpoint := x.route.Endpoints[index]
-		got, observed, failure := out.try(x, endpoint, another && reroutes < maxReroutes)
+		got, observed, failure := out.try(x, endpoint, hasAlternative && reroutes < maxReroutes)
 		if failure == nil {
 			ended := got.pass(x)
 			observed.Failed = ended.cut && x.request.Context().Err() == nil
@@ -116,7 +116,7 @@
 		}
 		return markFull(nodeRefusal(response), response)
 	}
-	got, failure := send(x, &hop{pool: out.pool, transport: out.transport, address: endpoint.Address, fields: fields, expect: true}, check)
+	got, failure := send(x, &hop{pool: out.pool, transport: out.transport, address: endpoint.Address, fields: fields, expectStreamed: true}, check)
 	if failure != nil {
 		observed.Latency = 0
 		observed.Failed = countsAgainstEndpoint(failure, observed)
@@ -126,8 +126,9 @@
 	return got, observed, failure
 }
 
-// countsAgainstEndpoint reports whether a failure counts against the endpoint. A refusal by
-// the node of a busy worker does not: the reported load already accounts for it.
+// countsAgainstEndpoint reports whether a failure counts against the endpoint, without a
+// catalog. A refusal by the node of a busy worker does not: the reported load already accounts
+// for it.
 func countsAgainstEndpoint(failure *result, observed balance.Observation) bool {
 	switch failure.cause {
 	case causeCallerGone, causeFull:
--- a/internal/traffic/closing/closing.go
+++ b/internal/traffic/closing/closing.go
@@ -11,17 +11,18 @@
 // first.
 type Urgency int
 
-// The urgencies: two for tenants of the highest priority and for callers without a tenant,
-// and two for all other tenants.
+// The urgencies. The first two are for tenants of the highest priority and for callers without
+// a tenant, the others for all other tenants. Of each pair, the first is for routes with the
+// priority of interactive requests or a higher one.
 const (
 	Urgent Urgency = iota
-	Patient
-	LaterUrgent
-	LaterPatient
+	NonUrgent
+	LowerTenantUrgent
+	LowerTenantNonUrgent
 	Urgencies int = iota // number of urgencies
 )
 
-// MaxPause is the maximum time for which callers' nodes are told to send no more requests.
+// MaxPause is the maximum time for which callers' nodes are asked to send no more requests.
 const MaxPause = time.Second
 
 // Pauses holds, by urgency, the time until which callers' nodes must send no more
--- a/internal/traffic/cold.go
+++ b/internal/traffic/cold.go
@@ -55,12 +55,12 @@
 	return allowed(x.class.urgency(), now)
 }
 
-// urgency returns the urgency of a class at a worker that sheds requests. The tenant's
-// priority decides first, where only 0 and greater are distinguished, then the route's.
+// urgency returns the urgency of a class at a worker that is cold or reports a limit. The
+// tenant's priority decides first, where only 0 and greater are distinguished, then the route's.
 func (c class) urgency() closing.Urgency {
 	urgency := closing.Urgent
-	if c.tenant > 0 {
-		urgency = closing.LaterUrgent
+	if c.tenantPriority > 0 {
+		urgency = closing.LowerTenantUrgent
 	}
 	if admission.ClassOfRank(0, c.rank) > admission.Interactive {
 		urgency++
--- a/internal/traffic/cold_wait_test.go
+++ b/internal/traffic/cold_wait_test.go
@@ -43,8 +43,8 @@
 	in.UpdateLocal(coldLocal("i-0"))
 	now := time.Now()
 	in.admitter.cold.RecordProbe(time.Second, now)
-	request := func(left time.Duration, returned bool) *exchange {
-		return &exchange{instance: "i-0", route: &snapshot.Route{}, deadline: now.Add(left), class: class{callerRetried: returned}}
+	request := func(left time.Duration, retried bool) *exchange {
+		return &exchange{instance: "i-0", route: &snapshot.Route{}, deadline: now.Add(left), class: class{callerRetried: retried}}
 	}
 	joins := func(x *exchange) bool {
 		_, joined := in.admitter.reserveWarmWait(x, now)
--- a/internal/traffic/coldstart/guard.go
+++ b/internal/traffic/coldstart/guard.go
@@ -1,10 +1,10 @@
 // Package coldstart limits the rate of requests to a cold worker: for some seconds after its
 // start a worker crashes under a higher load. The package is pure: the caller passes the time.
 //
-// Every request to a worker passes through the worker's node, so the rate is limited there
-// and other nodes need not know it. A node that has just started, or whose worker has not
-// responded for a while, cannot know whether the worker has restarted. It assumes a cold
-// worker until the response to a health check shows otherwise.
+// Every request to a worker passes through the worker's node, so the rate is limited there and
+// is not sent to other nodes. A node that has just started, or whose worker has not responded
+// for a while, has no evidence whether the worker has restarted. It assumes a cold worker until
+// the response to a health check shows otherwise.
 //
 // Alternatives considered: a token bucket with a burst of a whole second's requests (the burst
 // is spent in the first milliseconds, when the worker is coldest); even spacing without a
@@ -80,7 +80,7 @@
 	if urgency == closing.Urgent {
 		return 0
 	}
-	return reserveShare + (1-reserveShare)*float64(urgency-closing.Patient)/float64(closing.Urgencies-1)
+	return reserveShare + (1-reserveShare)*float64(urgency-closing.NonUrgent)/float64(closing.Urgencies-1)
 }
 
 // Bind sets the limits of the worker. A change discards all state.
@@ -94,18 +94,18 @@
 	}
 }
 
-// MarkStarted reports that the worker may have just started: it counts as cold and a health
+// MarkStarted records that the worker may have just started: it counts as cold and a health
 // check is due.
 func (g *Guard) MarkStarted(now time.Time) {
 	g.probeNeeded = true
 	g.ExtendCold(g.bound.Duration, now)
 }
 
-// SuspectRestart reports a weak indication that the worker may have restarted: a health check is
+// SuspectRestart records a weak indication that the worker may have restarted: a health check is
 // due, but the worker is not limited until its result.
 func (g *Guard) SuspectRestart() { g.probeNeeded = true }
 
-// ExtendCold reports that the worker may stay cold for the given time. It never shortens the cold
+// ExtendCold records that the worker may stay cold for the given time. It never shortens the cold
 // start.
 func (g *Guard) ExtendCold(remaining time.Duration, now time.Time) {
 	if until := now.Add(remaining); until.After(g.coldUntil) {
@@ -188,8 +188,8 @@
 	g.pauses.Extend(urgency, interval, now)
 }
 
-// PausedFor is the time for which the node that gets this response must send no more requests
-// of an urgency. Each rejected request extends it by the time that the worker needs for
+// PausedFor is the time for which a caller's node that gets a response now must send no more
+// requests of an urgency. Each rejected request extends it by the time that the worker needs for
 // one, so that callers retry one after the other and few of them are rejected again.
 func (g *Guard) PausedFor(urgency closing.Urgency, now time.Time) time.Duration {
 	if !g.Limited(now) {
--- a/internal/traffic/coldstart/guard_test.go
+++ b/internal/traffic/coldstart/guard_test.go
@@ -118,7 +118,7 @@
 }
 
 // SuspectRestart triggers a health check but limits nothing until its result.
-func TestDoubtDoesNotLimit(t *testing.T) {
+func TestSuspectedRestartDoesNotLimit(t *testing.T) {
 	guard := newGuard(start)
 	guard.RecordProbe(0, start)
 	now := start.Add(probeInterval)
@@ -127,7 +127,7 @@
 	must.False(t, guard.Limited(now))
 }
 
-// Rejected callers are told to retry one after the other, at the rate of the worker, and
+// Rejected callers are asked to retry one after the other, at the rate of the worker, and
 // after at most closing.MaxPause.
 func TestRejectedCallersRetryOneByOne(t *testing.T) {
 	guard := newGuard(start)
@@ -166,18 +166,18 @@
 		passed := map[closing.Urgency]int{}
 		for step := range 3000 {
 			now := start.Add(time.Duration(step) * time.Millisecond)
-			for _, urgency := range []closing.Urgency{closing.Patient, closing.Urgent} {
-				if (mixed || urgency == closing.Patient) && guard.CanSend(urgency, now) && guard.Acquire(urgency, now) {
+			for _, urgency := range []closing.Urgency{closing.NonUrgent, closing.Urgent} {
+				if (mixed || urgency == closing.NonUrgent) && guard.CanSend(urgency, now) && guard.Acquire(urgency, now) {
 					passed[urgency]++
 				}
 			}
 		}
 		if mixed {
 			must.GreaterEq(t, 55, passed[closing.Urgent])
-			must.LessEq(t, 3, passed[closing.Patient])
+			must.LessEq(t, 3, passed[closing.NonUrgent])
 			continue
 		}
-		must.GreaterEq(t, 55, passed[closing.Patient])
+		must.GreaterEq(t, 55, passed[closing.NonUrgent])
 	}
 }
 
--- a/internal/traffic/dispatch.go
+++ b/internal/traffic/dispatch.go
@@ -9,16 +9,17 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// Bounds for dispatching one request in a catalog's mesh.
+// Bounds for dispatching one request in a catalog's mesh. The divisors apply to the time left
+// until the deadline.
 const (
-	minRetryAfter   = 20 * time.Millisecond  // minimum Retry-After
-	maxRetryAfter   = time.Second            // maximum Retry-After
-	retryAfterShare = 3                      // divisor of the time left: the maximum Retry-After
-	minAckTimeout   = 80 * time.Millisecond  // minimum acknowledgement timeout
-	maxAckTimeout   = 300 * time.Millisecond // maximum acknowledgement timeout of a near node
-	ackTimeoutShare = 6                      // divisor of the time left: the acknowledgement timeout
-	typicalAckShare = 3                      // the same, for a node whose acknowledgements typically take long
-	remoteAckShare  = 2                      // the same, for a remote node: the other half remains for a near node
+	minRetryAfter     = 20 * time.Millisecond
+	maxRetryAfter     = time.Second
+	retryAfterDivisor = 3 // the maximum Retry-After, within the two bounds above
+	minAckTimeout     = 80 * time.Millisecond
+	maxAckTimeout     = 300 * time.Millisecond // of a near node
+	ackTimeoutDivisor = 6                      // the acknowledgement timeout of a near node, within the two bounds above
+	typicalAckDivisor = 3                      // the maximum for a node whose acknowledgements typically take long
+	remoteAckDivisor  = 2                      // the maximum for a remote node: the other half remains for a near node
 )
 
 // dispatch sends a request to a worker when views come from a catalog: it offers the request
@@ -122,9 +123,9 @@
 	}
 }
 
-// try makes one offer; another states that a further endpoint seems to be free. It reports
+// try makes one offer; hasAlternative states that another endpoint seems to be free. It reports
 // whether the request has ended.
-func (d *dispatch) try(target snapshot.Target, endpoint snapshot.Endpoint, another bool) (result, bool) {
+func (d *dispatch) try(target snapshot.Target, endpoint snapshot.Endpoint, hasAlternative bool) (result, bool) {
 	if refused := d.out.recheckCaller(d.x); refused != nil {
 		d.out.chooser.release(endpoint)
 		d.last = *refused
@@ -140,10 +141,10 @@
 		d.crossZoneOffers++
 	}
 	d.x.offers, d.x.instance = d.offers, endpoint.Worker
-	d.x.hasAlternative = another && d.offers < d.out.offers.total
+	d.x.hasAlternative = hasAlternative && d.offers < d.out.offers.total
 	d.x.roundTrip, d.x.roundTripMeasured = d.out.chooser.roundTrip(endpoint)
 	d.x.rerouteTime = d.out.ackDelays.rerouteTime() + d.x.roundTrip
-	if !endpoint.Local && !d.x.offersBody() {
+	if !endpoint.Local && !d.x.bodyAwaitsContinue() {
 		return d.tryHedged(target, endpoint)
 	}
 	got, observed, failure := d.out.offer(d.x, endpoint)
@@ -263,8 +264,8 @@
 	if d.rejected {
 		return minRetryAfter
 	}
-	maxDelay := min(max(minRetryAfter, d.x.deadline.Sub(now)/retryAfterShare), maxRetryAfter)
-	return d.out.retrySchedules.retryDelay(d.service, d.x.class.tenant, min(max(d.shortestWait, minRetryAfter), maxDelay), maxDelay, now)
+	maxDelay := min(max(minRetryAfter, d.x.deadline.Sub(now)/retryAfterDivisor), maxRetryAfter)
+	return d.out.retrySchedules.retryDelay(d.service, d.x.class.tenantPriority, min(max(d.shortestWait, minRetryAfter), maxDelay), maxDelay, now)
 }
 
 // release reverts a choice to which no request was sent.
--- a/internal/traffic/dispatch_test.go
+++ b/internal/traffic/dispatch_test.go
@@ -104,7 +104,7 @@
 // not reused.
 func TestDispatchForwardsEarlyResponse(t *testing.T) {
 	m := newCatalogMesh(t, 1)
-	defer close(m.nodes[0].worker.gate)
+	defer close(m.nodes[0].worker.unblock)
 	m.script("early")
 	response, text, err := m.call("POST", "/order/", strings.Repeat("artwork ", 1<<18))
 	must.NoError(t, err)
@@ -162,7 +162,7 @@
 	must.Zero(t, m.nodes[0].worker.runs())
 }
 
-// A request that waits for a slot when its worker begins to drain is refused at once, so that
+// A request that waits for a slot when its worker begins to drain is refused immediately, so that
 // it can run at another worker. Fault: it was granted a slot of a worker that had left more
 // than two seconds before.
 func TestQueuedRequestIsRefusedWhenWorkerDrains(t *testing.T) {
@@ -185,7 +185,7 @@
 	m.nodes[0].holder.Store(&leaving)
 	m.nodes[0].in.LocalChanged()
 	must.Eq(t, http.StatusServiceUnavailable, <-statuses) // its view had no other worker
-	close(m.nodes[0].worker.gate)
+	close(m.nodes[0].worker.unblock)
 	must.Eq(t, http.StatusOK, <-statuses)
 	must.Eq(t, http.StatusOK, <-statuses)
 	must.Eq(t, 2, m.nodes[0].worker.runs())
@@ -245,7 +245,7 @@
 }
 
 // A worker whose record was removed although it did not announce a drain is sent requests
-// until the record expires, and beyond that while the node beside it retains it. Other
+// until the record expires, and beyond that while the worker's own node retains it. Other
 // requests are refused as not run.
 func TestLapsedWorkerServesUntilExpiryOrWhileRetained(t *testing.T) {
 	m := newCatalogMesh(t, 2)
@@ -315,7 +315,7 @@
 // their connections.
 func TestEndingNodeSendsFinalResponse(t *testing.T) {
 	m := newCatalogMesh(t, 1)
-	defer close(m.nodes[0].worker.gate)
+	defer close(m.nodes[0].worker.unblock)
 	m.script("wait")
 	statuses := make(chan int, 1)
 	go func() {
@@ -450,9 +450,9 @@
 		long := admission.Arrival[*exchange]{Class: admission.Batch, Kind: "long", Deadline: time.Now().Add(time.Hour), Waiter: &exchange{}}
 		earlier, _ := in.admitter.queue.Admit(long, time.Now().Add(-time.Second))
 		in.admitter.queue.Done(earlier, time.Now())
-		held, _ := in.admitter.queue.Admit(long, time.Now())
+		running, _ := in.admitter.queue.Admit(long, time.Now())
 		if status == http.StatusOK {
-			time.AfterFunc(50*time.Millisecond, func() { in.admitter.release(held) })
+			time.AfterFunc(50*time.Millisecond, func() { in.admitter.release(running) })
 		}
 		response, _, err := m.call("GET", "/lookup/", "")
 		must.NoError(t, err)
@@ -501,14 +501,14 @@
 	long := admission.Arrival[*exchange]{Class: admission.Batch, Kind: "long", Deadline: time.Now().Add(time.Hour), Waiter: &exchange{}}
 	earlier, _ := node.in.admitter.queue.Admit(long, time.Now().Add(-time.Second))
 	node.in.admitter.queue.Done(earlier, time.Now())
-	held, _ := node.in.admitter.queue.Admit(long, time.Now())
+	running, _ := node.in.admitter.queue.Admit(long, time.Now())
 
 	response, _, err := m.call("GET", "/lookup/", "", testProtocol.Deadline, "20000")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
 	must.NotEq(t, "", response.Header.Get("Retry-After"))
 
-	time.AfterFunc(50*time.Millisecond, func() { node.in.admitter.release(held) })
+	time.AfterFunc(50*time.Millisecond, func() { node.in.admitter.release(running) })
 	response, _, err = m.call("GET", "/lookup/", "", testProtocol.Deadline, "15000")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, response.StatusCode)
--- a/internal/traffic/exchange.go
+++ b/internal/traffic/exchange.go
@@ -39,7 +39,7 @@
 	instance          string                   // id of the instance that is to run the request
 	tenant            credential
 	configurationAge  time.Duration // age of this node's configuration, where it decided whether a caller is accepted; 0: it did not
-	caller            string        // service beside the node that received the request
+	caller            string        // service of the node that received the request from its caller
 	class             class
 	internal          bool                   // whether its route is called only by runs of other services, as far as this node has observed
 	sent              time.Time              // when it was sent to the local worker
@@ -54,7 +54,7 @@
 	hasAlternative    bool                   // whether the caller's node has another endpoint that seems to be free
 	roundTrip         time.Duration          // round-trip time to the node that it is offered to
 	roundTripMeasured bool                   // whether roundTrip was measured rather than assumed
-	rerouteTime       time.Duration          // if there is one: time to reach it; a shorter wait in the queue is better
+	rerouteTime       time.Duration          // with hasAlternative: time to reach that endpoint; a request that expects a shorter wait for a slot is queued
 	bodyAwaited       bool                   // whether the body has not been requested from the sender yet
 	expectsAck        bool                   // whether the caller's node waits for an acknowledgement that the request has arrived
 
@@ -82,8 +82,8 @@
 	answer        *answer // a complete response that is still to be forwarded
 }
 
-// quarantineRequest returns the content that identifies all copies of the request. The body is empty for a
-// streamed one; with a catalog, bodies are buffered.
+// quarantineRequest returns the content that identifies all copies of the request. A streamed
+// body is left out; with a catalog, bodies are buffered.
 func (x *exchange) quarantineRequest() *quarantine.Request {
 	return &quarantine.Request{Method: x.request.Method, Host: strings.ToLower(hostOf(x.request)), Target: x.request.URL.RequestURI(), Body: x.body.whole}
 }
--- a/internal/traffic/fairness_test.go
+++ b/internal/traffic/fairness_test.go
@@ -61,7 +61,7 @@
 		go send(each[0], each[1])
 		waitFor(m.t, func() bool { return node.in.Queued() == index+1 })
 	}
-	close(node.worker.gate)
+	close(node.worker.unblock)
 	for range len(requests) + 1 {
 		must.NoError(m.t, <-ended)
 	}
@@ -96,19 +96,19 @@
 	for _, each := range []struct {
 		tenant, rank int
 		urgency      closing.Urgency
-	}{{0, 0, closing.Urgent}, {0, 1, closing.Urgent}, {0, 2, closing.Patient}, {1, 0, closing.LaterUrgent}, {2, 1, closing.LaterUrgent}, {2, 2, closing.LaterPatient}} {
-		must.Eq(t, each.urgency, class{tenant: each.tenant, rank: each.rank}.urgency())
+	}{{0, 0, closing.Urgent}, {0, 1, closing.Urgent}, {0, 2, closing.NonUrgent}, {1, 0, closing.LowerTenantUrgent}, {2, 1, closing.LowerTenantUrgent}, {2, 2, closing.LowerTenantNonUrgent}} {
+		must.Eq(t, each.urgency, class{tenantPriority: each.tenant, rank: each.rank}.urgency())
 	}
 }
 
 // The priorities of tenant and route that are sent between nodes are decoded as encoded, and
 // invalid texts are rejected.
 func TestPriorityEncodingRoundTrip(t *testing.T) {
-	for text, priorities := range map[string]class{"0": {}, "2": {rank: 2}, "2.1": {rank: 2, tenant: 1}, "0.3": {tenant: 3}} {
+	for text, priorities := range map[string]class{"0": {}, "2": {rank: 2}, "2.1": {rank: 2, tenantPriority: 1}, "0.3": {tenantPriority: 3}} {
 		must.Eq(t, text, priorities.priority())
 		tenant, rank, valid := decodePriority(text)
 		must.True(t, valid)
-		must.Eq(t, priorities, class{tenant: tenant, rank: rank})
+		must.Eq(t, priorities, class{tenantPriority: tenant, rank: rank})
 	}
 	for _, text := range []string{"", ".", "1.", ".1", "1.1.1", "x"} {
 		_, _, valid := decodePriority(text)
--- a/internal/traffic/forward.go
+++ b/internal/traffic/forward.go
@@ -43,9 +43,9 @@
 	transport        *http.Transport
 	address          string  // host:port
 	fields           []field // replace the caller's headers of the same names
-	expect           bool    // whether a streamed body waits for 100 Continue
+	expectStreamed   bool    // whether a streamed body waits for 100 Continue
 	protocol         *Protocol
-	offer            bool                                        // whether a buffered body waits for 100 Continue, so that a refused or unacknowledged request has not run
+	expectBuffered   bool                                        // whether a buffered body waits for 100 Continue, so that a refused or unacknowledged request has not run
 	ackTimeout       time.Duration                               // time within which the next hop has to acknowledge the request; 0: until the deadline
 	onAck            func(took time.Duration)                    // called at each informational or final response, with the time since the request was sent; may be nil
 	onAckTimeout     func()                                      // called when no acknowledgement came in time; nil: the attempt ends
@@ -53,15 +53,15 @@
 	waitsForDeadline func() bool                                 // called when no acknowledgement came in time: whether to wait until the deadline; nil: no
 }
 
-// foreignTo reports whether the next hop uses headers other than sliphead's own.
-func (h *hop) foreignTo() bool { return h.protocol != nil && !h.protocol.isNative() }
+// usesCustomHeaders reports whether the next hop uses headers other than sliphead's own.
+func (h *hop) usesCustomHeaders() bool { return h.protocol != nil && !h.protocol.isNative() }
 
 // sets reports whether the hop sets a header.
 func (h *hop) sets(name string) bool {
 	return slices.ContainsFunc(h.fields, func(each field) bool { return each.name == name })
 }
 
-// directBody is the length in bytes up to which a body is written at once, before the response
+// directBody is the length in bytes up to which a body is written completely before the response
 // is read. Any connection buffers that much.
 const directBody = 16 << 10
 
@@ -119,7 +119,7 @@
 		Body:          x.body.reader(),
 		ContentLength: x.body.length,
 	}
-	if to.expect && x.body.stream != nil {
+	if to.expectStreamed && x.body.stream != nil {
 		header["Expect"] = []string{"100-continue"}
 	}
 	return request.WithContext(ctx)
--- a/internal/traffic/hedge.go
+++ b/internal/traffic/hedge.go
@@ -20,10 +20,10 @@
 	acked       atomic.Bool   // whether the node has acknowledged the request, even late
 	cancel      context.CancelFunc
 
-	done    chan struct{} // closed once the fields below are set
-	got     *answer
-	seen    balance.Observation
-	failure *result
+	done     chan struct{} // closed once the fields below are set
+	got      *answer
+	observed balance.Observation
+	failure  *result
 }
 
 // startAttempt starts an attempt and returns immediately. Its end is also sent on d.finished.
@@ -34,7 +34,7 @@
 	attempt.onAckTimeout = func() { close(started.ackTimedOut) }
 	attempt.onAck = func(time.Duration) { started.acked.Store(true) }
 	go func() {
-		started.got, started.seen, started.failure = d.out.offer(&attempt, endpoint)
+		started.got, started.observed, started.failure = d.out.offer(&attempt, endpoint)
 		close(started.done)
 		d.finished <- started
 	}()
@@ -51,7 +51,7 @@
 		case finished := <-d.finished:
 			d.removePending(finished)
 			if finished == current {
-				return d.conclude(target, endpoint, finished.got, finished.seen, finished.failure)
+				return d.conclude(target, endpoint, finished.got, finished.observed, finished.failure)
 			}
 			if finished.failure == nil && d.acceptEarlier(finished.got) {
 				d.out.chooser.release(endpoint)
@@ -59,13 +59,13 @@
 			}
 		case <-current.ackTimedOut:
 			failure := unresponsive(true)
-			seen := balance.Observation{Failed: true, Unreachable: true}
-			return d.conclude(target, endpoint, nil, seen, &failure)
+			observed := balance.Observation{Failed: true, Unreachable: true}
+			return d.conclude(target, endpoint, nil, observed, &failure)
 		}
 	}
 }
 
-// acceptEarlier reports whether the response of an earlier attempt is forwarded at once. An
+// acceptEarlier reports whether the response of an earlier attempt is forwarded immediately. An
 // error response of a worker is retained while the attempt that followed it may do better.
 func (d *dispatch) acceptEarlier(earlier *answer) bool {
 	if !earlier.isWhole || earlier.response.StatusCode < http.StatusInternalServerError {
--- a/internal/traffic/hop.go
+++ b/internal/traffic/hop.go
@@ -20,7 +20,7 @@
 
 // class states how a worker's node is to treat a request.
 type class struct {
-	tenant            int           // priority of its tenant, 0 is served first; 0 without a tenant
+	tenantPriority    int           // priority of its tenant, 0 is served first; 0 without a tenant
 	rank              int           // priority of its route among tenants of the same priority, 0 is served first
 	repeatable        bool          // whether it may run more than once
 	waitsForDeadline  bool          // whether it may wait until its deadline rather than its latency objective
@@ -33,11 +33,11 @@
 type hopRequest struct {
 	attempt        string // id of the attempt
 	instance       string // instance that is to run the request
-	caller         string // service beside the node that received the request
+	caller         string // service of the node that received the request from its caller
 	route          string
 	class          class
-	hasAlternative bool          // whether to refuse rather than to queue
-	rerouteTime    time.Duration // with hasAlternative: if the wait is expected to be shorter, queue nevertheless
+	hasAlternative bool          // whether the caller's node has another endpoint: a full worker's node then refuses rather than queues
+	rerouteTime    time.Duration // with hasAlternative: time to reach that endpoint; a request that expects a shorter wait is queued nevertheless
 	tenant         credential
 	repeated       bool // whether a worker has received the request before
 }
@@ -70,7 +70,7 @@
 	read := hopRequest{
 		attempt: split[0],
 		class: class{
-			tenant:            tenantPriority,
+			tenantPriority:    tenantPriority,
 			rank:              rank,
 			repeatable:        strings.Contains(split[5], "r"),
 			waitsForDeadline:  strings.Contains(split[5], "p"),
@@ -98,10 +98,10 @@
 // priority encodes the route's priority and, if it is not 0, the tenant's.
 func (c class) priority() string {
 	rank := strconv.Itoa(c.rank)
-	if c.tenant == 0 {
+	if c.tenantPriority == 0 {
 		return rank
 	}
-	return rank + prioritySeparator + strconv.Itoa(c.tenant)
+	return rank + prioritySeparator + strconv.Itoa(c.tenantPriority)
 }
 
 // decodePriority parses the output of priority and reports whether it is valid.
@@ -120,7 +120,7 @@
 	attempt       string
 	outcome       outcome.Outcome
 	reachedWorker bool // whether the worker itself refused
-	full          bool // whether it was refused because another endpoint seemed to be free
+	full          bool // whether it was refused because the worker was full and another endpoint seemed to be free
 	quarantined   bool // whether the request is in quarantine
 	keyWithdrawn  bool // whether the caller's key was withdrawn
 	crashedBefore bool // whether an earlier worker also crashed while running the request
--- a/internal/traffic/hop_bytes.go
+++ b/internal/traffic/hop_bytes.go
@@ -7,8 +7,8 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// hopBytes counts the bytes that attempts at other nodes send over the machine's link, by
-// outcome and distance. Where a link is full or bytes are expensive, this shows what uses
+// hopBytes counts the bytes that attempts at other nodes send and receive over the machine's
+// link, by outcome and distance. Where a link is full or bytes are expensive, this shows what uses
 // them.
 type hopBytes struct {
 	counter *prometheus.CounterVec
--- a/internal/traffic/idle_limit.go
+++ b/internal/traffic/idle_limit.go
@@ -8,9 +8,9 @@
 // used for a while.
 
 const (
-	minResetIdle   = 100 * time.Millisecond // shorter idle times don't explain a reset
-	idleLimitShare = 2                      // divisor of the idle time before a reset: the new limit
-	idleLimitTTL   = 10 * time.Second       // how long a limit applies after a reset
+	minResetIdle     = 100 * time.Millisecond // shorter idle times don't explain a reset
+	idleLimitDivisor = 2                      // of the idle time before a reset: the new limit
+	idleLimitTTL     = 10 * time.Second       // how long a limit applies after a reset
 )
 
 // idleLimit is the maximum idle time of connections to an address, and until when it applies.
@@ -27,7 +27,7 @@
 	if p.idleLimits == nil {
 		p.idleLimits = map[string]idleLimit{}
 	}
-	limit := idleLimit{longest: idleFor / idleLimitShare, until: now.Add(idleLimitTTL)}
+	limit := idleLimit{longest: idleFor / idleLimitDivisor, until: now.Add(idleLimitTTL)}
 	if previous := p.idleLimits[address]; now.Before(previous.until) {
 		limit.longest = min(limit.longest, previous.longest)
 	}
--- a/internal/traffic/inbound.go
+++ b/internal/traffic/inbound.go
@@ -25,7 +25,7 @@
 	runs             *workerRuns
 	nested           *nestedCalls
 	charge           func(service string, arrivals float64) // deducts arrivals from the retry budget of the same node's outbound handler; nil: there is none
-	retains          atomic.Bool                            // whether requests are still accepted for a worker whose catalog record has expired
+	retains          atomic.Bool                            // whether requests are still accepted for a worker whose catalog record was removed
 }
 
 // NewInbound returns the handler of the inbound listener. Zero fields of the configuration
@@ -82,7 +82,7 @@
 	}
 	x.load = func() balance.Load { return in.admitter.load(x) }
 	if !in.config.Protocol.isNative() {
-		in.beginInstance(x)
+		in.beginCatalog(x)
 	}
 	if in.config.ObservePeer != nil {
 		in.config.ObservePeer(remoteHost(request))
@@ -127,7 +127,7 @@
 			return refuse(causeLease, time.Second, "send it again, this node has no confirmed configuration")
 		}
 		if !in.config.Protocol.isNative() {
-			return in.classifyInstance(x, view, next)
+			return in.classifyCatalog(x, view, next)
 		}
 		route := view.Route(get(x.request.Header, outcome.Route))
 		if route == nil || !route.LocalAllowed {
@@ -205,7 +205,7 @@
 // attempt's id the response may be one that the worker copied from another service.
 func (in *Inbound) checkWorker(x *exchange, response *http.Response) *result {
 	if !in.config.Protocol.isNative() {
-		return in.checkInstance(x, response)
+		return in.checkCatalogWorker(x, response)
 	}
 	echoed := get(response.Header, attemptHeader)
 	named := get(response.Header, outcome.RequestID)
--- a/internal/traffic/instance.go
+++ b/internal/traffic/instance.go
@@ -11,10 +11,10 @@
 	"sliphead/internal/snapshot"
 )
 
-// classifyInstance checks a request for the local worker when views come from a catalog. The
+// classifyCatalog checks a request for the local worker when views come from a catalog. The
 // caller's node names the instance that is to run the request and how to treat it, because its
 // view may be newer than this node's.
-func (in *Inbound) classifyInstance(x *exchange, view *snapshot.View, next stage) result {
+func (in *Inbound) classifyCatalog(x *exchange, view *snapshot.View, next stage) result {
 	x.view = view
 	if refused := in.checkLocal(x); refused != nil {
 		return *refused
@@ -22,9 +22,9 @@
 	return next(x)
 }
 
-// beginInstance reads the hop header of the caller's node. Without a valid one the exchange
+// beginCatalog reads the hop header of the caller's node. Without a valid one the exchange
 // has no attempt and is refused.
-func (in *Inbound) beginInstance(x *exchange) {
+func (in *Inbound) beginCatalog(x *exchange) {
 	protocol := &in.config.Protocol
 	x.id = get(x.request.Header, protocol.RequestID)
 	x.fromNode = true
@@ -58,7 +58,7 @@
 // maxDeadline bounds the deadline that a caller's node may send.
 const maxDeadline = time.Hour
 
-// checkLocal refuses a request for an instance that is not beside this node, that is draining,
+// checkLocal refuses a request for an instance that is not the local worker, that is draining,
 // or whose zone is evacuated.
 func (in *Inbound) checkLocal(x *exchange) *result {
 	local := x.view.Local
@@ -108,8 +108,8 @@
 // misdirected reports whether the worker has responded that it is another instance. Instance
 // ids are never reused, so this stays true.
 func (in *Inbound) misdirected(instance string) bool {
-	misdirectedID := in.disownedInstance.Load()
-	return misdirectedID != nil && *misdirectedID == instance
+	disowned := in.disownedInstance.Load()
+	return disowned != nil && *disowned == instance
 }
 
 // stillLocal refuses a request whose instance has been replaced or has begun to drain while
@@ -127,7 +127,7 @@
 }
 
 // LocalChanged must be called when the view of the local worker changes. Requests that wait
-// for a worker that has left are refused at once, so that another worker can run them in time.
+// for a worker that has left are refused immediately, so that another worker can run them in time.
 // It is safe for concurrent use.
 func (in *Inbound) LocalChanged() { in.admitter.clear() }
 
@@ -141,9 +141,9 @@
 	}
 }
 
-// checkInstance rejects a response that does not come from the worker or belongs to another
+// checkCatalogWorker rejects a response that does not come from the worker or belongs to another
 // request, when callers and workers use headers of their own.
-func (in *Inbound) checkInstance(x *exchange, response *http.Response) *result {
+func (in *Inbound) checkCatalogWorker(x *exchange, response *http.Response) *result {
 	protocol := &in.config.Protocol
 	if id := get(response.Header, protocol.RequestID); id != "" && id != x.id {
 		return foreign()
--- a/internal/traffic/keepers_test.go
+++ b/internal/traffic/keepers_test.go
@@ -282,14 +282,14 @@
 				f := newKeeperFleet(t)
 				time.Sleep(2 * time.Second)
 				healed := make(chan struct{})
-				var disturbing, running sync.WaitGroup
-				disturbing.Go(func() { f.injectFaults(seed, healed) })
+				var faults, running sync.WaitGroup
+				faults.Go(func() { f.injectFaults(seed, healed) })
 				for number := range orders {
 					running.Go(func() { f.order(seed, number) })
 				}
 				running.Wait()
 				close(healed)
-				disturbing.Wait()
+				faults.Wait()
 				for key, runs := range f.byKey {
 					must.LessEq(t, 1, runs, must.Sprintf("%s ran %d times", key, runs))
 				}
--- a/internal/traffic/keys_fuzz_test.go
+++ b/internal/traffic/keys_fuzz_test.go
@@ -46,7 +46,7 @@
 func FuzzHopRequest(f *testing.F) {
 	whole := hopRequest{
 		attempt: "a1", instance: "i-1", caller: "shop", route: "order",
-		class: class{tenant: 2, rank: 1, repeatable: true, objective: 30_000_000}, tenant: credential{name: "a;b,c", tag: "tag", version: 35},
+		class: class{tenantPriority: 2, rank: 1, repeatable: true, objective: 30_000_000}, tenant: credential{name: "a;b,c", tag: "tag", revision: 35},
 	}
 	f.Add(whole.encode())
 	f.Add("a1;i-1;;order;1;;0;0;")
@@ -69,7 +69,7 @@
 	f.Add("press", uint64(1))
 	f.Add("a;b,c%2C/\r\n é", uint64(1<<63))
 	f.Fuzz(func(t *testing.T, name string, revision uint64) {
-		sent := credential{name: name, tag: catalog.DigestKey(name).Tag(), version: revision}
+		sent := credential{name: name, tag: catalog.DigestKey(name).Tag(), revision: revision}
 		if name == "" {
 			sent = credential{}
 		}
--- a/internal/traffic/keys_test.go
+++ b/internal/traffic/keys_test.go
@@ -45,7 +45,7 @@
 
 // Callers do not retry after a 401. A node whose configuration is too old to contain a new key
 // therefore asks for a retry; one with a recent configuration rejects an unknown key.
-func TestUnknownKeyWithStaleConfiguration(t *testing.T) {
+func TestStaleNodeAsksForRetryOfUnknownKey(t *testing.T) {
 	m := newTenantMesh(t, nil)
 	var lines bytes.Buffer
 	m.nodes[0].out.metrics.logger = logging.New(&lines, log.InfoLevel)
@@ -87,7 +87,7 @@
 
 // A request whose key is withdrawn while the first worker refuses it must not be offered to a
 // second one. On a public route it continues without a tenant.
-func TestKeyWithdrawnBetweenOffers(t *testing.T) {
+func TestRequestWithWithdrawnKeyIsNotOfferedAgain(t *testing.T) {
 	for _, public := range []bool{false, true} {
 		m := newCatalogMesh(t, 3)
 		m.publish(func(route *snapshot.Route) {
@@ -144,12 +144,12 @@
 	waitFor(m.t, func() bool { return node.worker.runs() == 1 })
 	go send()
 	waitFor(m.t, func() bool { return node.in.Queued() == 1 })
-	return statuses, func() { close(node.worker.gate) }
+	return statuses, func() { close(node.worker.unblock) }
 }
 
 // A request whose key is withdrawn while it is queued must not run. On a public route it runs
 // without a tenant.
-func TestKeyWithdrawnWhileQueued(t *testing.T) {
+func TestQueuedRequestWithWithdrawnKeyIsNotRun(t *testing.T) {
 	for _, public := range []bool{false, true} {
 		m := newTenantMesh(t, func(route *snapshot.Route) { route.Public = public })
 		statuses, release := m.queueBehind("/lookup/1")
@@ -182,7 +182,7 @@
 
 // Keys change in quick succession while one connection stays open, down to no key and back.
 // Either node may have an older configuration than the other.
-func TestKeysChangeOnPersistentConnection(t *testing.T) {
+func TestKeyChangesApplyOnPersistentConnection(t *testing.T) {
 	const other = "k-press-2"
 	with := func(keys ...string) []catalog.Tenant {
 		tenant := catalog.Tenant{Name: press, Keys: []catalog.KeyDigest{}}
--- a/internal/traffic/limited.go
+++ b/internal/traffic/limited.go
@@ -16,7 +16,7 @@
 	if limit := a.report.limit.Current(); limit.Limited {
 		a.notify(a.queue.SetRateLimit(float64(limit.Rate), now))
 	} else {
-		a.closedUntil = [len(a.closedUntil)]time.Time{}
+		a.pauses = [len(a.pauses)]time.Time{}
 		a.notify(a.queue.RemoveRateLimit(now))
 	}
 	a.scheduleFill(now)
@@ -34,7 +34,7 @@
 // time for which callers' nodes are asked to send no more requests of that urgency, so that few
 // requests are sent to a node only to be refused there. The caller holds the mutex.
 func (a *admitter) refuseLimited(x *exchange, wait time.Duration, now time.Time) result {
-	a.closedUntil.Extend(x.class.urgency(), a.queue.GrantInterval(), now)
+	a.pauses.Extend(x.class.urgency(), a.queue.GrantInterval(), now)
 	return refuse(causeLimit, wait, "send it again later, the worker is in need and takes few requests")
 }
 
--- a/internal/traffic/limited_test.go
+++ b/internal/traffic/limited_test.go
@@ -64,7 +64,7 @@
 
 // When all workers of a service report limits, requests beyond these are refused immediately with
 // outcome not-run and Retry-After, and few of the following requests are sent to another node.
-func TestAllWorkersAtTheirLimits(t *testing.T) {
+func TestRequestsBeyondAllLimitsAreRefusedImmediately(t *testing.T) {
 	m := newCatalogMesh(t, 3)
 	m.publish(func(route *snapshot.Route) { route.Objective = 50 * time.Millisecond })
 	for _, node := range m.nodes {
@@ -129,7 +129,7 @@
 	eventually(t, func() bool { return limited.in.Limit().Limited })
 	must.Eq(t, 100, limited.in.Limit().PerSecond)
 	eventually(t, func() bool { return limited.worker.runs() == 2 })
-	close(limited.worker.gate)
+	close(limited.worker.unblock)
 	must.Eq(t, http.StatusOK, <-answered)
 }
 
@@ -204,11 +204,11 @@
 	must.Eq(t, runs, other.runs())
 }
 
-// Observed failure: a node that was cut off received the leave notice of a restarted worker while
+// Fault: a node that was cut off received the leave notice of a restarted worker while
 // it had only the catalog record of the previous instance with the same id, and sent requests
 // again when the new record arrived. While it is unclear which instance sent the notice, no
 // request is sent.
-func TestLeaveNoticeBeforeCatalogRecordOfRestart(t *testing.T) {
+func TestLeaveNoticeAppliesToRestartedWorker(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	node := m.nodes[0]
 	startAs := func(instance string) {
--- a/internal/traffic/limits_test.go
+++ b/internal/traffic/limits_test.go
@@ -50,7 +50,7 @@
 
 // After a request was refused with its body unread, its connection must either remain usable or be
 // closed cleanly.
-func TestConnectionAfterRefusalWithUnreadBody(t *testing.T) {
+func TestConnectionWorksAfterRefusalWithUnreadBody(t *testing.T) {
 	m, _ := newFaultyMesh(t, nil)
 	for range 20 {
 		response, _, err := m.call(t, "POST", "/nowhere", "a body")
--- a/internal/traffic/load.go
+++ b/internal/traffic/load.go
@@ -9,7 +9,7 @@
 )
 
 // A load is encoded as "busy/slots/queued", followed where available by "/wait/run",
-// "/wait/run/link" or "/wait/run/link/closed" in milliseconds, and after these by "/rejects"
+// "/wait/run/link" or "/wait/run/link/paused" in milliseconds, and after these by "/rejects"
 // in percent.
 
 const loadSeparator = "/"
@@ -25,12 +25,12 @@
 // encodedParts returns how many parts of a load are encoded: up to the last one that is not
 // zero.
 func encodedParts(load balance.Load) int {
-	const counts, forecast, link, closed, rejects = 3, 5, 6, 7, 8
+	const counts, forecast, link, paused, rejects = 3, 5, 6, 7, 8
 	switch {
 	case load.RejectShare > 0:
 		return rejects
 	case load.PausedFor > 0:
-		return closed
+		return paused
 	case load.Link > 0:
 		return link
 	case load.Wait > 0 || load.Run > 0:
@@ -67,8 +67,8 @@
 	wait, rest, _ := strings.Cut(forecast, loadSeparator)
 	run, rest, _ := strings.Cut(rest, loadSeparator)
 	link, rest, _ := strings.Cut(rest, loadSeparator)
-	closed, rejects, _ := strings.Cut(rest, loadSeparator)
-	load := balance.Load{Wait: parseMilliseconds(wait), Run: parseMilliseconds(run), Link: parseMilliseconds(link), PausedFor: parseMilliseconds(closed), RejectShare: parsePercent(rejects)}
+	paused, rejects, _ := strings.Cut(rest, loadSeparator)
+	load := balance.Load{Wait: parseMilliseconds(wait), Run: parseMilliseconds(run), Link: parseMilliseconds(link), PausedFor: parseMilliseconds(paused), RejectShare: parsePercent(rejects)}
 	var err error
 	if load.Busy, err = strconv.Atoi(busy); err != nil || !found {
 		return balance.Load{}, false
--- a/internal/traffic/nested.go
+++ b/internal/traffic/nested.go
@@ -15,7 +15,7 @@
 // use.
 type nestedCalls struct {
 	mutex       sync.Mutex
-	internalAt  map[string]time.Time // by name: when a node last reported that only other services call it
+	internalAt  map[string]time.Time // by route: when a node last reported that only other services call it
 	lastFailure time.Time            // when a call last failed permanently
 	runs        float64              // requests run by the worker
 	calls       map[string]float64   // made by these runs, by called service
@@ -32,7 +32,8 @@
 	return &nestedCalls{internalAt: map[string]time.Time{}, calls: map[string]float64{}}
 }
 
-// recordInternal records the time of a node's report that a route is internal; other reports are ignored.
+// recordInternal records the time of a node's report that a route is internal. Other reports
+// are ignored.
 func (n *nestedCalls) recordInternal(route string, internal bool, now time.Time) {
 	if !internal {
 		return
@@ -150,9 +151,9 @@
 	if !out.recentFailures.any(now) {
 		return false
 	}
-	failure, returned := out.recentFailures.find(x.fingerprint(), now)
-	x.class.callerRetried, x.class.callsFailedBefore = returned, failure.callsFailed
-	return returned
+	failure, retried := out.recentFailures.find(x.fingerprint(), now)
+	x.class.callerRetried, x.class.callsFailedBefore = retried, failure.callsFailed
+	return retried
 }
 
 // recordEnd records how a request to a service ended at this node.
@@ -168,7 +169,7 @@
 }
 
 // isRejection reports whether a worker with free slots rejected the request. Trying another
-// endpoint, or retrying at once, is then as likely to succeed as a later retry.
+// endpoint, or retrying immediately, is then as likely to succeed as a later retry.
 func isRejection(failure *result, load balance.Load) bool {
 	return failure != nil && failure.outcome == outcome.NotRun && failure.rejected && load.Busy < load.Slots
 }
--- a/internal/traffic/nested_calls_test.go
+++ b/internal/traffic/nested_calls_test.go
@@ -16,8 +16,8 @@
 )
 
 // A worker that rejects every other request although it has free slots must not count as a failing
-// endpoint. Otherwise nodes backed off from each such worker for up to ten seconds and sent
-// requests to other regions.
+// endpoint. Fault: nodes backed off from each such worker for up to ten seconds and sent requests
+// to other regions.
 func TestRejectionIsNotAnEndpointFailure(t *testing.T) {
 	m := newCatalogMesh(t, 1)
 	m.publish(func(route *snapshot.Route) { route.MaxAttempts = 1 })
@@ -37,8 +37,8 @@
 func TestMisdirectedResponseIsAnEndpointFailure(t *testing.T) {
 	misdirected := &result{cause: causeRefused, reachedWorker: true}
 	observation := balance.Observation{HasLoad: true, Load: balance.Load{Busy: 0, Slots: 2}}
-	must.True(t, countsAgainstNode(misdirected, observation))
-	must.False(t, countsAgainstNode(&result{cause: causeRefused, reachedWorker: true, rejected: true}, observation))
+	must.True(t, countsAgainstCatalogEndpoint(misdirected, observation))
+	must.False(t, countsAgainstCatalogEndpoint(&result{cause: causeRefused, reachedWorker: true, rejected: true}, observation))
 }
 
 // The mesh must not retry a run whose calls have failed, since it would repeat the calls at a
@@ -60,7 +60,7 @@
 			}
 		}
 		for _, node := range m.nodes {
-			close(node.worker.gate)
+			close(node.worker.unblock)
 		}
 		if callFails {
 			must.Eq(t, http.StatusInternalServerError, <-answered)
@@ -118,7 +118,7 @@
 }
 
 // Retries must be distinguished from new requests, also when there are many, and whatever their
-// timeouts: callers of one route send from 0.85 of the deadline to all of it, or none, and first
+// timeouts: callers of one route send from 0.85 of the deadline to all of it, or none. Fault: first
 // requests with short timeouts were mistaken for retries.
 func TestRetriesAreRecognized(t *testing.T) {
 	out := newCatalogMesh(t, 1).nodes[0].out
--- a/internal/traffic/offer.go
+++ b/internal/traffic/offer.go
@@ -10,7 +10,7 @@
 	"sliphead/internal/traffic/balance"
 )
 
-// offer sends the request to the node beside an endpoint, which may be this node.
+// offer sends the request to an endpoint's node, which may be this node.
 func (out *Outbound) offer(x *exchange, endpoint snapshot.Endpoint) (*answer, balance.Observation, *result) {
 	if endpoint.Local && out.local != nil {
 		return out.offerLocal(x, endpoint)
@@ -45,13 +45,13 @@
 	if failure.cause == causeUnresponsive {
 		out.ackDelays.observe(endpoint.Address, 2*to.ackTimeout) // the real delay is longer but is not measured
 	}
-	observed.Failed = countsAgainstNode(failure, observed)
+	observed.Failed = countsAgainstCatalogEndpoint(failure, observed)
 	observed.Rejected = failure.outcome == outcome.NotRun && !failure.reachedWorker && observed.HasLoad && observed.Load.Busy >= observed.Load.Slots
 	observed.Unreachable = failure.cause == causeConnect || failure.cause == causeUnresponsive
 	return nil, observed, failure
 }
 
-// hopTo returns the hop to the node beside an endpoint, with the headers for that node.
+// hopTo returns the hop to an endpoint's node, with the headers for that node.
 func (out *Outbound) hopTo(x *exchange, endpoint snapshot.Endpoint, request *hopRequest) *hop {
 	to := &hop{
 		pool: out.pool, transport: out.transport, address: endpoint.Address,
@@ -59,16 +59,16 @@
 			{hopHeader, request.encode()},
 			{out.config.Protocol.Deadline, strconv.FormatInt(x.millisecondsLeft(), 10)},
 		},
-		expect:     true,
-		offer:      x.offersBody(),
-		ackTimeout: x.ackTimeout(out.ackDelays.typical(endpoint.Address)),
-		onAck:      out.observeAck(endpoint.Address, x.onAck),
-		onBytes:    out.hopBytes.recorder(out.distanceLabel(endpoint)),
+		expectStreamed: true,
+		expectBuffered: x.bodyAwaitsContinue(),
+		ackTimeout:     x.ackTimeout(out.ackDelays.typical(endpoint.Address)),
+		onAck:          out.observeAck(endpoint.Address, x.onAck),
+		onBytes:        out.hopBytes.recorder(out.distanceLabel(endpoint)),
 	}
 	if limit, known := out.reports.limitOf(endpoint.Worker, time.Now()); known {
 		to.fields = append(to.fields, field{limitHeader, limit.String()})
 	}
-	if !to.offer {
+	if !to.expectBuffered {
 		to.waitsForDeadline = out.stopping // a worker may be running it: abandoning the attempt would interrupt it
 		to.onAckTimeout = x.onAckTimeout
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-// offerLocal runs the request at the worker beside this node.
+// offerLocal runs the request at the local worker.
 func (out *Outbound) offerLocal(x *exchange, endpoint snapshot.Endpoint) (*answer, balance.Observation, *result) {
 	inner := *x
 	inner.attempt = ""
@@ -125,12 +125,13 @@
 	}
 	ended.retryAfter = load.Wait + load.PausedFor
 	observed.Rejected = ended.cause == causeQueue || ended.cause == causeFull
-	observed.Failed = countsAgainstNode(&ended, observed)
+	observed.Failed = countsAgainstCatalogEndpoint(&ended, observed)
 	return nil, observed, &ended
 }
 
-// countsAgainstNode reports whether a failure counts against an endpoint.
-func countsAgainstNode(failure *result, observed balance.Observation) bool {
+// countsAgainstCatalogEndpoint is countsAgainstEndpoint for a catalog's mesh, whose nodes refuse
+// requests for more causes.
+func countsAgainstCatalogEndpoint(failure *result, observed balance.Observation) bool {
 	if failure.rejected {
 		return false // its node reports its rejections in the load
 	}
@@ -154,15 +155,15 @@
 	return current
 }
 
-// offersBody reports whether the body is sent only after the node has requested it with 100
+// bodyAwaitsContinue reports whether the body is sent only after the node has requested it with 100
 // Continue. A missing acknowledgement then proves that the request has not run.
-func (x *exchange) offersBody() bool {
+func (x *exchange) bodyAwaitsContinue() bool {
 	return x.body.length > 0 && (!x.route.Repeatable || x.body.length > directBody)
 }
 
 // roundTrips returns the number of round trips to a node until the response arrives.
 func (x *exchange) roundTrips() int {
-	if x.offersBody() {
+	if x.bodyAwaitsContinue() {
 		return 2
 	}
 	return 1
@@ -173,10 +174,10 @@
 // delay of the node, while time remains for another node.
 func (x *exchange) ackTimeout(typical time.Duration) time.Duration {
 	left := time.Until(x.deadline)
-	limit := min(max(left/ackTimeoutShare, minAckTimeout), maxAckTimeout)
-	remote := min(limit+x.roundTrip, left/remoteAckShare)
+	limit := min(max(left/ackTimeoutDivisor, minAckTimeout), maxAckTimeout)
+	remote := min(limit+x.roundTrip, left/remoteAckDivisor)
 	if x.roundTrip > 0 && !x.roundTripMeasured {
-		remote = min(maxAckTimeout, left/remoteAckShare) // a shorter timeout would prevent measuring a node at that distance
+		remote = min(maxAckTimeout, left/remoteAckDivisor) // a shorter timeout would prevent measuring a node at that distance
 	}
-	return max(limit, remote, min(typical, left/typicalAckShare))
+	return max(limit, remote, min(typical, left/typicalAckDivisor))
 }
--- a/internal/traffic/outbound.go
+++ b/internal/traffic/outbound.go
@@ -27,7 +27,7 @@
 	handle    stage
 
 	// With a catalog.
-	local          *Inbound // handler of the worker beside this one, nil if there is none
+	local          *Inbound // inbound handler of the same node, nil if there is none
 	weights        *weights
 	budget         *serviceBudget
 	retrySchedules *retrySchedules
@@ -42,7 +42,7 @@
 	cancelNode     context.CancelFunc
 }
 
-// UseLocal lets the handler reach the worker beside it without a connection between nodes. It
+// UseLocal lets the handler reach the local worker without a connection between nodes. It
 // must be called before the first request.
 func (out *Outbound) UseLocal(local *Inbound) {
 	out.local = local
@@ -207,8 +207,8 @@
 	}
 }
 
-// missingDataRetryAfter is the Retry-After of a request that this node lacks the data to serve. Other
-// nodes and the store deliver the data in about that time.
+// missingDataRetryAfter is the Retry-After of a request that this node lacks the data to serve.
+// Other nodes and the store deliver the data in about that time.
 const missingDataRetryAfter = 200 * time.Millisecond
 
 // refuseUnconfigured returns the refusal of a node that has no configuration yet.
--- a/internal/traffic/pace.go
+++ b/internal/traffic/pace.go
@@ -62,8 +62,8 @@
 	return &refused
 }
 
-// RecordReceived records a number of bytes that arrived on the machine's link without a reservation,
-// so that long bodies wait for these as well. It is safe for concurrent use.
+// RecordReceived records a number of bytes that arrived on the machine's link without a
+// reservation, so that long bodies wait for these as well. It is safe for concurrent use.
 func (in *Inbound) RecordReceived(bytes int64) {
 	in.admitter.mutex.Lock()
 	defer in.admitter.mutex.Unlock()
--- a/internal/traffic/pace_test.go
+++ b/internal/traffic/pace_test.go
@@ -23,8 +23,8 @@
 }
 
 // On a slow link, bodies are transferred one after the other. Those that would arrive too late are
-// refused immediately, and the reported load includes the wait for the link. Twelve bodies sent at
-// the same time delayed the calls to the same worker beyond their objective.
+// refused immediately, and the reported load includes the wait for the link. Fault: twelve
+// bodies sent at the same time delayed the calls to the same worker beyond their objective.
 func TestBodiesArePacedByLinkRate(t *testing.T) {
 	now := time.Now()
 	a := newAdmitter("shop", Limits{Slots: 12, QueueLength: 16, LinkMbps: 10})
--- a/internal/traffic/pool.go
+++ b/internal/traffic/pool.go
@@ -179,7 +179,7 @@
 	return removed
 }
 
-// close closes the idle connections at once, and those in use when they are put back.
+// close closes the idle connections immediately, and those in use when they are put back.
 func (p *pool) close() {
 	p.mutex.Lock()
 	p.closed = true
--- a/internal/traffic/pool_test.go
+++ b/internal/traffic/pool_test.go
@@ -116,7 +116,7 @@
 	endless := "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxResponseHeader)
 	for name, each := range map[string]struct {
 		answer, outcome string
-		kept            int // idle connections for the next request
+		idle            int // idle connections for the next request
 	}{
 		"early hints":       {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "answered", 1},
 		"only early hints":  {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 9), "unknown", 0},
@@ -142,7 +142,7 @@
 			must.NoError(t, err)
 			must.Eq(t, each.outcome, response.Header.Get(outcome.Header))
 			must.NotEq(t, http.StatusGatewayTimeout, response.StatusCode) // ended immediately, not at the deadline
-			must.Eq(t, each.kept, len(m.in.worker.pool.idleByAddress["worker:1"]))
+			must.Eq(t, each.idle, len(m.in.worker.pool.idleByAddress["worker:1"]))
 		})
 	}
 }
@@ -162,15 +162,15 @@
 
 // After a reset of an idle connection, connections to that address that have been idle for as
 // long are not reused. Recently used ones are, and the limit expires.
-func TestIdleConnectionsAfterReset(t *testing.T) {
+func TestLongIdleConnectionsAreNotReusedAfterReset(t *testing.T) {
 	for name, each := range map[string]struct {
-		rested, ago time.Duration
-		reused      bool
+		idleFor, ago time.Duration
+		reused       bool
 	}{
-		"idle as long":    {rested: 300 * time.Millisecond, reused: false},
-		"recently used":   {rested: 10 * time.Millisecond, reused: true},
-		"reset long ago":  {rested: 300 * time.Millisecond, ago: idleLimitTTL, reused: true},
-		"another address": {rested: 300 * time.Millisecond, ago: -1, reused: true},
+		"idle as long":    {idleFor: 300 * time.Millisecond, reused: false},
+		"recently used":   {idleFor: 10 * time.Millisecond, reused: true},
+		"reset long ago":  {idleFor: 300 * time.Millisecond, ago: idleLimitTTL, reused: true},
+		"another address": {idleFor: 300 * time.Millisecond, ago: -1, reused: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dial, far := dialerWithPeers(t, "tcp")
@@ -181,7 +181,7 @@
 			must.Zero(t, conn.idleFor)
 			defer func() { _ = (<-far).Close() }()
 			p.put(conn)
-			conn.idleSince = time.Now().Add(-each.rested)
+			conn.idleSince = time.Now().Add(-each.idleFor)
 			address := "worker"
 			if each.ago < 0 {
 				address = "other"
@@ -199,24 +199,24 @@
 // to it, and the requests that follow are served.
 func TestResetRetiresIdleConnections(t *testing.T) {
 	m := newCatalogMesh(t, 1)
-	rest := func() {
+	ageIdleConnections := func() {
 		direct, _ := m.nodes[0].in.worker.connections()
 		direct.mutex.Lock()
 		defer direct.mutex.Unlock()
-		for _, kept := range direct.idleByAddress {
-			for _, conn := range kept {
+		for _, idle := range direct.idleByAddress {
+			for _, conn := range idle {
 				conn.idleSince = time.Now().Add(-time.Second)
 			}
 		}
 	}
 	_, _, err := m.call("POST", "/order/", "cards")
 	must.NoError(t, err)
-	rest()
+	ageIdleConnections()
 	m.script("close")
 	response, _, err := m.call("POST", "/order/", "cards")
 	must.NoError(t, err)
 	must.Eq(t, http.StatusBadGateway, response.StatusCode)
-	rest()
+	ageIdleConnections()
 	direct, _ := m.nodes[0].in.worker.connections()
 	must.False(t, direct.withinIdleLimit(m.nodes[0].worker.address(), time.Second, time.Now()))
 	response, _, err = m.call("POST", "/order/", "cards")
@@ -224,22 +224,22 @@
 	must.Eq(t, http.StatusOK, response.StatusCode)
 }
 
-// waitsForDeadline is called when the acknowledgement timeout expires, not when the request
-// starts: the node may begin to stop in between.
+// Whether an unacknowledged request waits until its deadline is decided when the acknowledgement
+// timeout expires, not when the request starts: the node may begin to stop in between.
 func TestStoppingIsCheckedAtAckTimeout(t *testing.T) {
-	for _, endures := range []bool{false, true} {
+	for _, waits := range []bool{false, true} {
 		dial, far := dialerWithPeers(t, "tcp")
 		p := newPool(sealedDial(dial, time.Minute), 1, 1)
 		conn, err := p.take(t.Context(), "", 0)
 		must.NoError(t, err)
 		other := <-far
-		asked := make(chan struct{})
+		called := make(chan struct{})
 		conn.startAckTimer(&hop{ackTimeout: time.Millisecond, waitsForDeadline: func() bool {
-			defer close(asked)
-			return endures
+			defer close(called)
+			return waits
 		}})
-		<-asked
-		if endures {
+		<-called
+		if waits {
 			_, err = other.Write([]byte("x"))
 			must.NoError(t, err)
 			_, err = conn.Read(make([]byte, 1)) // not interrupted
--- a/internal/traffic/pooled_conn.go
+++ b/internal/traffic/pooled_conn.go
@@ -119,17 +119,17 @@
 // withinPeerIdleTimeout reports whether the other side still keeps open a connection that has
 // been idle for a time, with a margin for network delay.
 func (c *pooledConn) withinPeerIdleTimeout(idle time.Duration) bool {
-	const marginShare = 4
-	if c.peerIdleTimeout > 0 && idle >= c.peerIdleTimeout-c.peerIdleTimeout/marginShare {
+	const marginDivisor = 4
+	if c.peerIdleTimeout > 0 && idle >= c.peerIdleTimeout-c.peerIdleTimeout/marginDivisor {
 		return false
 	}
 	return idle < maxIdleTime
 }
 
-// attemptFailure returns the result of a failed attempt. If a body was offered and not
-// requested, the request cannot have run.
+// attemptFailure returns the result of a failed attempt. If the body waited for 100
+// Continue and was not requested, the request cannot have run.
 func (c *pooledConn) attemptFailure(x *exchange, to *hop, mayHaveSent bool) result {
-	if to.offers(x) && !c.bodyStarted {
+	if to.expectsContinue(x) && !c.bodyStarted {
 		mayHaveSent = false
 	}
 	if c.isUnresponsive() && x.context.Err() == nil {
--- a/internal/traffic/protocol.go
+++ b/internal/traffic/protocol.go
@@ -13,7 +13,7 @@
 type Protocol struct {
 	RequestID      string // identifies a request, on requests and responses
 	Deadline       string // milliseconds left, on requests
-	CallerService  string // on requests to workers: the service beside the node that received the request
+	CallerService  string // on requests to workers: the service of the node that received the request from its caller
 	TargetInstance string // on requests to workers: any other instance must refuse the request
 	NotExecuted    string // on a worker's responses: it did not run the request
 	Signature      string // on a worker's responses: a success without it does not come from a worker
--- a/internal/traffic/quarantine.go
+++ b/internal/traffic/quarantine.go
@@ -44,7 +44,7 @@
 }
 
 // refuseHeld returns the refusal of a request that is sent to no worker. Copies of it would be
-// refused as well, so Retry-After says when the next one may be served.
+// refused as well, so Retry-After is the time until the next one may be served.
 func refuseHeld(left time.Duration) result {
 	return refuse(causeQuarantine, left, "mend the request or its service: workers ended each time they ran it, it is sent to none for now")
 }
--- a/internal/traffic/recent_failures.go
+++ b/internal/traffic/recent_failures.go
@@ -7,10 +7,11 @@
 	"sliphead/internal/quarantine"
 )
 
-// recentFailures tracks the requests that this node has recently refused or answered with a failure.
-// A caller retries such a request once, under another id, so a copy of a tracked request is the
-// caller's last attempt. The caller's deadline cannot show that, because it differs more between
-// callers than between a first and a second attempt. It is safe for concurrent use.
+// recentFailures tracks the requests that this node has recently refused or answered with a
+// failure. A caller retries such a request once, under another id, so a copy of a tracked
+// request is the caller's last attempt. The caller's deadline cannot show that, because it
+// differs more between callers than between a first and a second attempt. It is safe for
+// concurrent use.
 type recentFailures struct {
 	mutex            sync.Mutex
 	recent, previous map[quarantine.Fingerprint]failureInfo
--- a/internal/traffic/remote_test.go
+++ b/internal/traffic/remote_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// remoteEndpoint is the worker beside a remote node.
+// remoteEndpoint is the worker of a remote node.
 var remoteEndpoint = snapshot.Endpoint{Worker: "i-far", Zone: "z9", Region: "r2", Address: "far:1", Slots: 6}
 
 // newRemoteOutbound returns the handler of a node that dials only a remote node.
@@ -89,8 +89,8 @@
 	t.Helper()
 	x := remoteExchange(t, out, left)
 	x.roundTrip, x.roundTripMeasured = out.chooser.roundTrip(remoteEndpoint)
-	got, seen, failure := out.offer(x, remoteEndpoint)
-	out.chooser.record(x, remoteEndpoint, seen)
+	got, observed, failure := out.offer(x, remoteEndpoint)
+	out.chooser.record(x, remoteEndpoint, observed)
 	if got != nil {
 		_, _ = io.Copy(io.Discard, got.response.Body)
 		_ = got.response.Body.Close()
@@ -152,7 +152,7 @@
 
 // A body that is sent only after 100 Continue costs a second round trip, and the choice of the
 // endpoint takes this into account.
-func TestOfferedBodyCostsTwoRoundTrips(t *testing.T) {
+func TestBodyAwaitingContinueCostsTwoRoundTrips(t *testing.T) {
 	out := NewOutbound(Config{Protocol: testProtocol, Logger: discardLogger(), Holder: &snapshot.Holder{}})
 	trips := func(length int64, repeatable bool) int {
 		x := &exchange{body: body{length: length}, route: &snapshot.Route{Route: declaration.Route{Repeatable: repeatable}}}
--- a/internal/traffic/request.go
+++ b/internal/traffic/request.go
@@ -18,7 +18,7 @@
 		return err
 	}
 	writeStrings(writer, x.request.Method, " ", x.request.URL.RequestURI(), " HTTP/1.1\r\nHost: ", x.request.Host, "\r\n")
-	if to.offers(x) {
+	if to.expectsContinue(x) {
 		writeStrings(writer, "Expect: 100-continue\r\n")
 	}
 	writeEndToEnd(writer, x.request.Header, to)
@@ -30,14 +30,15 @@
 		writeStrings(writer, "Content-Length: ", string(length), "\r\n")
 	}
 	writeStrings(writer, "\r\n")
-	if to.offers(x) {
+	if to.expectsContinue(x) {
 		return writer.Flush()
 	}
 	return nil
 }
 
-// offers reports whether the request is first sent without its body.
-func (h *hop) offers(x *exchange) bool { return h.offer && x.body.length > 0 }
+// expectsContinue reports whether the request is first sent without its body, which waits for
+// 100 Continue.
+func (h *hop) expectsContinue(x *exchange) bool { return h.expectBuffered && x.body.length > 0 }
 
 func writeStrings(writer *bufio.Writer, texts ...string) {
 	for _, text := range texts {
--- a/internal/traffic/retry_schedules.go
+++ b/internal/traffic/retry_schedules.go
@@ -7,11 +7,11 @@
 	"sliphead/internal/traffic/retryafter"
 )
 
-// retrySchedules schedules the retries of refused callers for each service. It is safe for concurrent
-// use.
+// retrySchedules schedules the retries of refused callers for each service. It is safe for
+// concurrent use.
 type retrySchedules struct {
 	mutex     sync.Mutex
-	byService map[string]*retryafter.Schedule // by service
+	byService map[string]*retryafter.Schedule
 }
 
 // maxRetrySchedules bounds the number of services that are tracked: twice the number of routes in
--- a/internal/traffic/retryafter/retryafter_test.go
+++ b/internal/traffic/retryafter/retryafter_test.go
@@ -34,7 +34,7 @@
 
 // In an overload of three seconds, a third beyond the capacity of the slots, callers whose
 // retries are spread and may get a late response are lost less often than those that retry
-// at once. In exchange a few more responses are late: 5 % at most. The excess can be served
+// immediately. In exchange a few more responses are late: 5 % at most. The excess can be served
 // only as far as it outlasts the overload.
 func TestSpreadRetriesLoseFewerCallersInOverload(t *testing.T) {
 	atOnce := overload(false)
@@ -58,7 +58,7 @@
 	ends   time.Time
 }
 
-// overload returns the outcomes of callers whose retries are spread, or come at once and
+// overload returns the outcomes of callers whose retries are spread, or come immediately and
 // are treated like new requests.
 func overload(spread bool) outcomes {
 	const (
--- a/internal/traffic/roundtrip.go
+++ b/internal/traffic/roundtrip.go
@@ -8,8 +8,8 @@
 	"sliphead/internal/fault"
 )
 
-// roundTrip sends a request and reads the response's header. With an offer, the body is sent
-// once the other side requests it.
+// roundTrip sends a request and reads the response's header. A body that waits for 100 Continue
+// is sent once the other side requests it.
 func (c *pooledConn) roundTrip(x *exchange, to *hop) (*http.Response, error) {
 	c.bodyStarted = false
 	c.bodyWritten = nil
@@ -19,7 +19,7 @@
 	if err := writeRequest(c.writer, x, to); err != nil {
 		return nil, err
 	}
-	if !to.offers(x) {
+	if !to.expectsContinue(x) {
 		if err := c.writeBody(x); err != nil {
 			return nil, err
 		}
@@ -41,7 +41,7 @@
 			c.readLimit = math.MaxInt64
 			return response, nil
 		}
-		if response.StatusCode == http.StatusContinue && to.offers(x) && !c.bodyStarted {
+		if response.StatusCode == http.StatusContinue && to.expectsContinue(x) && !c.bodyStarted {
 			if err := c.writeBody(x); err != nil {
 				return nil, err
 			}
@@ -171,7 +171,7 @@
 	c.begin(x.context)
 	response, err := c.roundTrip(x, to)
 	for range maxForeignResponses {
-		if err != nil || !to.foreignTo() || !to.protocol.belongsToOtherRequest(x, response) {
+		if err != nil || !to.usesCustomHeaders() || !to.protocol.belongsToOtherRequest(x, response) {
 			break
 		}
 		response, err = c.readNextResponse(x, response)
--- a/internal/traffic/stop.go
+++ b/internal/traffic/stop.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stopSchedule says which requests a stopping node accepts, and until when.
+// stopSchedule states which requests a stopping node accepts, and until when.
 type stopSchedule struct {
 	strictFrom time.Time // from then on, accept only requests whose deadline is before end
 	end        time.Time // when requests that still run are cancelled
--- a/internal/traffic/tenant.go
+++ b/internal/traffic/tenant.go
@@ -22,22 +22,22 @@
 // tenant by the caller's key. The worker's node trusts it, unless it has a later configuration
 // without that key. The key itself is not passed on by the first node.
 type credential struct {
-	name    string // name of the tenant; "": none
-	tag     string // tag of the key
-	version uint64 // revision of the configuration in which the key was found
+	name     string // name of the tenant; "": none
+	tag      string // tag of the key
+	revision uint64 // revision of the configuration in which the key was found
 }
 
 // credentialSeparator separates the encoded fields; it is escaped in names.
 const credentialSeparator = ","
 
-const versionBase = 36
+const revisionBase = 36
 
 // encode returns the joined fields, or "" for no tenant.
 func (c credential) encode() string {
 	if c.name == "" {
 		return ""
 	}
-	return strings.Join([]string{url.PathEscape(c.name), c.tag, strconv.FormatUint(c.version, versionBase)}, credentialSeparator)
+	return strings.Join([]string{url.PathEscape(c.name), c.tag, strconv.FormatUint(c.revision, revisionBase)}, credentialSeparator)
 }
 
 // decodeCredential decodes the output of encode. It returns false if the text is invalid.
@@ -51,28 +51,28 @@
 		return credential{}, false
 	}
 	name, nameErr := url.PathUnescape(split[0])
-	version, versionErr := strconv.ParseUint(split[2], versionBase, 64)
-	return credential{name: name, tag: split[1], version: version}, nameErr == nil && versionErr == nil && name != ""
+	revision, revisionErr := strconv.ParseUint(split[2], revisionBase, 64)
+	return credential{name: name, tag: split[1], revision: revision}, nameErr == nil && revisionErr == nil && name != ""
 }
 
 // asOf returns the credential according to a view: if the view is of a later configuration, the
 // key may have moved to another tenant since. A key that no tenant has any more leaves the
 // credential unchanged.
 func (c credential) asOf(view *snapshot.View) credential {
-	if c.name == "" || view.Version.Revision <= c.version {
+	if c.name == "" || view.Version.Revision <= c.revision {
 		return c
 	}
 	tenant := view.TenantOfTag(c.tag)
 	if tenant == nil {
 		return c
 	}
-	return credential{name: tenant.Name, tag: c.tag, version: view.Version.Revision}
+	return credential{name: tenant.Name, tag: c.tag, revision: view.Version.Revision}
 }
 
 // withdrawnBy reports whether a view is of a later configuration than the one in which the key
 // was found, and the tenant no longer has the key in it.
 func (c credential) withdrawnBy(view *snapshot.View) bool {
-	if c.name == "" || !view.HasTenants() || view.Version.Revision <= c.version {
+	if c.name == "" || !view.HasTenants() || view.Version.Revision <= c.revision {
 		return false
 	}
 	tenant := view.Tenant(c.name)
@@ -102,8 +102,8 @@
 	if tenant == nil {
 		return
 	}
-	x.tenant = credential{name: tenant.Name, tag: key.Tag(), version: x.view.Version.Revision}
-	x.class.tenant = tenant.Priority
+	x.tenant = credential{name: tenant.Name, tag: key.Tag(), revision: x.view.Version.Revision}
+	x.class.tenantPriority = tenant.Priority
 }
 
 // refuseCaller refuses a request whose route requires a key and whose caller sent none that a
--- a/internal/traffic/tenant_test.go
+++ b/internal/traffic/tenant_test.go
@@ -94,7 +94,7 @@
 
 // A worker's node with a later configuration that lacks the key rejects the request. One with an
 // earlier configuration trusts the node that accepted the request.
-func TestKeyWithdrawnAtWorkersNode(t *testing.T) {
+func TestWorkersNodeRejectsWithdrawnKey(t *testing.T) {
 	m := newTenantMesh(t, nil)
 	m.publishTenants(1, 2, []catalog.Tenant{})
 	response, _, err := m.call(http.MethodPost, "/order/1", "x", "Authorization", "Bearer "+pressKey)
@@ -110,7 +110,7 @@
 
 // A key that a later configuration assigns to another tenant identifies that tenant at the worker's
 // node. The request is not rejected, since the key is valid in all configurations.
-func TestKeyMovesToAnotherTenant(t *testing.T) {
+func TestMovedKeyIdentifiesItsNewTenant(t *testing.T) {
 	m := newTenantMesh(t, nil)
 	moved := pressTenant()
 	moved[0].Name = "till"
@@ -143,7 +143,7 @@
 
 // Requests beyond a tenant's quota must be refused with outcome not-run and Retry-After, and a
 // request that no worker ran must return its quota.
-func TestTenantQuota(t *testing.T) {
+func TestRequestsBeyondTenantQuotaAreRefused(t *testing.T) {
 	m := newTenantMesh(t, nil)
 	quota := &fixedQuota{left: 2}
 	m.nodes[0].out.config.Quotas = quota
--- a/internal/traffic/time_test.go
+++ b/internal/traffic/time_test.go
@@ -190,8 +190,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := newPipeMesh(t, sleeper)
 		far := snapshot.Endpoint{Worker: "w1", Zone: "z2", Address: "in:1", Slots: 1, Connections: 130}
-		silent := snapshot.Endpoint{Worker: "w0", Zone: "z1", Address: "silent:1", Slots: 1, Connections: 130}
-		m.out.config.Holder.Store(viewOf([]snapshot.Endpoint{silent, far}))
+		unreachable := snapshot.Endpoint{Worker: "w0", Zone: "z1", Address: "silent:1", Slots: 1, Connections: 130}
+		m.out.config.Holder.Store(viewOf([]snapshot.Endpoint{unreachable, far}))
 		began := time.Now()
 		response, _ := m.get(t, "/order")
 		must.Eq(t, "answered", response.Header.Get(outcome.Header))
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -93,7 +93,7 @@
 	RetryBurst     float64       // retries that may accumulate
 	RetryBudget    int           // retries of one call tree, in thousandths
 	RetrySlack     int           // with a catalog: arrivals beyond the first that the whole mesh may add per window, in addition to RetryRatio
-	ColdOverage    float64       // multiple of the declared rate that a cold worker may be sent; 0: once
+	ColdOverage    float64       // multiple of the declared rate that a cold worker may be sent; 0: 1
 	ColdSlack      float64       // requests that a cold worker may be sent beyond that within any second
 	IdlePerNode    int           // idle connections retained per node
 	ConnectTimeout time.Duration // to open a connection
--- a/internal/traffic/weights.go
+++ b/internal/traffic/weights.go
@@ -18,7 +18,7 @@
 type weights struct {
 	random       *rand.Rand
 	mutex        sync.Mutex
-	dealsByRoute map[string]*deal // by route
+	dealsByRoute map[string]*deal
 }
 
 // deal is the cycle of one route's requests.
--- a/internal/traffic/worker.go
+++ b/internal/traffic/worker.go
@@ -25,9 +25,9 @@
 	refused    bool       // whether it refused the connection then
 }
 
-// transportShare is the inverse of the share of the worker's connections that is reserved for the
-// transport; it gets at least one.
-const transportShare = 4
+// transportDivisor divides the worker's connections: that part, at least one, is reserved for the
+// transport.
+const transportDivisor = 4
 
 func newWorkerLink(config Config) *workerLink {
 	link := &workerLink{dial: config.Dial}
@@ -48,7 +48,7 @@
 		l.transport.CloseIdleConnections()
 	}
 	l.maxConnections = connections
-	shared := max(1, connections/transportShare)
+	shared := max(1, connections/transportDivisor)
 	l.transport = newTransport(l.dial, shared, shared)
 	l.pool = newPool(l.dial, connections-shared, connections-shared)
 }
--- a/internal/traffic/worker_report.go
+++ b/internal/traffic/worker_report.go
@@ -73,7 +73,7 @@
 // instance under the same id, whose catalog record may arrive later than its responses.
 const leaveNoticeCarryover = 6 * time.Second
 
-// leaveState says whether an instance has announced that it leaves.
+// leaveState states whether an instance has announced that it leaves.
 type leaveState int
 
 const (
--- a/internal/traffic/workerlimit/limit_test.go
+++ b/internal/traffic/workerlimit/limit_test.go
@@ -18,14 +18,14 @@
 	return start.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-func named(rate Rate) Advertised { return Advertised{Limited: true, Rate: rate} }
+func limitedTo(rate Rate) Advertised { return Advertised{Limited: true, Rate: rate} }
 
 // A limit is one non-negative decimal number; all other texts are errors without a limit.
 func TestParse(t *testing.T) {
 	for text, wanted := range map[string]Rate{"0": 0, "7.5": 7.5, " 20 ": 20, "0.3": 0.3, ".5": 0.5, "300.": 300} {
 		value, err := Parse([]string{text})
 		must.NoError(t, err, must.Sprint(text))
-		must.Eq(t, named(wanted), value)
+		must.Eq(t, limitedTo(wanted), value)
 	}
 	value, err := Parse(nil)
 	must.NoError(t, err)
@@ -58,12 +58,12 @@
 // raise that limit, whenever it arrives. The response to a later request does.
 func TestEarlierRequestsDoNotLiftLimit(t *testing.T) {
 	var limit Limit
-	must.True(t, limit.Record(named(5), at(0), at(100)))
+	must.True(t, limit.Record(limitedTo(5), at(0), at(100)))
 	must.False(t, limit.Record(Advertised{}, at(50), at(200)))
-	must.False(t, limit.Record(named(20), at(99), at(110)))
-	must.Eq(t, named(5), limit.Current())
-	must.True(t, limit.Record(named(20), at(201), at(220)))
-	must.True(t, limit.Record(named(5), at(10), at(230))) // a lower limit applies at once
+	must.False(t, limit.Record(limitedTo(20), at(99), at(110)))
+	must.Eq(t, limitedTo(5), limit.Current())
+	must.True(t, limit.Record(limitedTo(20), at(201), at(220)))
+	must.True(t, limit.Record(limitedTo(5), at(10), at(230))) // a lower limit applies at once
 	must.Eq(t, at(100), limit.Since())
 	must.True(t, limit.Record(Advertised{}, at(231), at(300)))
 	must.True(t, limit.Since().IsZero())
@@ -74,10 +74,10 @@
 func TestAdoptOnlyWithoutOwnResponse(t *testing.T) {
 	var limit Limit
 	must.False(t, limit.Adopt(Advertised{}, at(0)))
-	must.True(t, limit.Adopt(named(3), at(1)))
-	must.False(t, limit.Adopt(named(9), at(2)))
+	must.True(t, limit.Adopt(limitedTo(3), at(1)))
+	must.False(t, limit.Adopt(limitedTo(9), at(2)))
 	must.True(t, limit.Record(Advertised{}, at(3), at(4)))
-	must.False(t, limit.Adopt(named(3), at(5)))
+	must.False(t, limit.Adopt(limitedTo(3), at(5)))
 }
 
 // period is a time for which the worker of TestLimitFromResponsesOutOfOrder advertises the
