--- a/internal/replication/announce.go
+++ b/internal/replication/announce.go
@@ -11,7 +11,8 @@
 // with may have restarted as well; the rotation reaches every running node at a cost per node
 // that does not grow with the fleet. It starts behind this node's own rank so that the nodes of a
 // zone do not all announce to the same peer. While this node is preferred as a reader, every
-// other announcement goes to the node that reads as long as the zone does not know this.
+// other announcement goes to the first node of the zone that is not preferred, which reads as
+// long as it does not know of the preference.
 func (m *Machine) announce(now time.Time) {
 	if m.state.Revision() == 0 || len(m.ranked) < 2 || now.Before(m.nextAnnouncement) {
 		return
--- a/internal/replication/event.go
+++ b/internal/replication/event.go
@@ -91,10 +91,10 @@
 // Announce sends an announcement to another node, which receives it as PeerSeen.
 type Announce struct {
 	Address   string
-	Preferred []string // by this node, for its zone
+	Preferred []string // the nodes that this node prefers as readers: see Machine.Preferred
 }
 
-// Retain sets whether this node keeps vouching for its local worker although the worker's record
+// Retain sets whether this node continues to serve its local worker although the worker's record
 // has expired.
 type Retain struct{ Retains bool }
 
@@ -105,7 +105,7 @@
 	Revision uint64 // of the store's response; 0: none
 	Duration time.Duration
 	Err      error
-	Before   catalog.Point // of EventStoreRestored: the point up to which everything was known
+	Before   catalog.Point // of EventStoreRestored: the point of the catalog before the restore
 	Missing  int           // of EventStoreRestored and EventRestoreSettled: workers without a record
 	Doubted  int           // records and evacuation orders not applied yet, see catalog.State.Doubted
 }
@@ -119,9 +119,9 @@
 	EventStoreLost      LogEvent = "replication.storeLost"      // a poll of the store failed
 	EventStoreRegained  LogEvent = "replication.storeRegained"  // the store responds again
 	EventHistoryGone    LogEvent = "replication.historyGone"    // the store no longer has the changes after the requested revision
-	EventAnswerOlder    LogEvent = "replication.answerOlder"    // the store's response is older than the catalog and is ignored
+	EventResponseOlder  LogEvent = "replication.answerOlder"    // the store's response is older than the catalog and is ignored
 	EventStoreRestored  LogEvent = "replication.storeRestored"  // the store was restored from an older backup
-	EventRestoreSettled LogEvent = "replication.restoreSettled" // the contents of the backup are applied from now on, even where they contradict what was known before
+	EventRestoreSettled LogEvent = "replication.restoreSettled" // the contents of the backup are applied from now on, even where they contradict the earlier state
 	EventPeerLost       LogEvent = "replication.peerLost"       // a followed node is excluded for a time
 	EventFollowing      LogEvent = "replication.following"      // the node follows another node
 )
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -327,17 +327,17 @@
 
 // In steady state, the number of polls does not grow with the number of nodes in a zone.
 func TestPollsDoNotGrowWithZoneSize(t *testing.T) {
-	calls := map[int]int{}
+	polls := map[int]int{}
 	for _, perZone := range []int{3, 30} {
 		f := newFleet(2, perZone)
 		f.run(5 * time.Second)
 		f.polls = 0
 		f.run(30 * time.Second)
-		calls[perZone] = f.polls
+		polls[perZone] = f.polls
 	}
 	const zones, seconds = 2, 30
-	must.Less(t, zones*(seconds/longPollShare/freshness.Seconds()+1), float64(calls[3]))
-	must.Eq(t, calls[3], calls[30])
+	must.Less(t, zones*(seconds/longPollShare/freshness.Seconds()+1), float64(polls[3]))
+	must.Eq(t, polls[3], polls[30])
 }
 
 // In steady state, no node has more followers than a link can carry a large change to, and a
@@ -362,7 +362,7 @@
 
 // After an outage of the store, nodes return to their usual tree at once: a change soon after it
 // arrives as fast as it can be read.
-func TestChangeAfterStoreOutage(t *testing.T) {
+func TestChangeAfterStoreOutageIsNotDelayed(t *testing.T) {
 	for _, size := range [][2]int{{4, 3}, {2, 24}, {3, 80}} {
 		for _, since := range []time.Duration{tickStep, 400 * time.Millisecond, 800 * time.Millisecond} {
 			f := newFleet(size[0], size[1])
@@ -383,7 +383,7 @@
 }
 
 // When a node that relays updates fails, the nodes below it still receive a change in time.
-func TestRelayNodeFails(t *testing.T) {
+func TestZoneStaysFreshWhenRelayFails(t *testing.T) {
 	for name, fail := range map[string]func(*simNode){
 		"killed": func(node *simNode) { node.up = false },
 		"frozen": func(node *simNode) { node.frozen = true },
@@ -405,7 +405,7 @@
 
 // When its reader is killed, frozen, cut off or not served by the store, a zone still receives a
 // change in time.
-func TestReaderFails(t *testing.T) {
+func TestZoneStaysFreshWhenReaderFails(t *testing.T) {
 	for name, fail := range map[string]func(*simNode){
 		"killed":       func(node *simNode) { node.up = false },
 		"frozen":       func(node *simNode) { node.frozen = true },
@@ -486,7 +486,7 @@
 }
 
 // When long polls get no response, polls for a full snapshot still bring changes.
-func TestUnresponsiveLongPoll(t *testing.T) {
+func TestSnapshotPollsReplaceUnresponsiveLongPolls(t *testing.T) {
 	f := newFleet(2, 4)
 	f.run(5 * time.Second)
 	for _, node := range f.nodes {
@@ -517,7 +517,7 @@
 }
 
 // A zone whose nodes all poll slowly, as on saturated links, receives changes from other zones in
-// time. Before, its nodes tried one another in turn, all of which followed the same reader.
+// time. Before, its nodes followed one another in turn, although all depended on the same reader.
 func TestZoneWithSlowPollsFollowsOtherZones(t *testing.T) {
 	f := newFleet(3, 24)
 	f.run(5 * time.Second)
@@ -572,7 +572,7 @@
 
 // A node that starts while the store is unreachable gets its catalog from a peer once one has
 // contacted it.
-func TestStartWithoutStore(t *testing.T) {
+func TestNodeStartedWithoutStoreGetsCatalogFromPeer(t *testing.T) {
 	f := newFleet(1, 3)
 	f.run(5 * time.Second)
 	for _, node := range f.nodes {
@@ -586,7 +586,7 @@
 
 // Nodes that start while the store is unreachable get their catalog from peers although no stream
 // to them was ever opened, even if all nodes of their zone start.
-func TestStartWithoutStoreOrStreams(t *testing.T) {
+func TestNodesStartedWithoutStoreOrStreamsGetCatalog(t *testing.T) {
 	for name, started := range map[string]int{"one": 1, "a zone": 4, "all but one": 11} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(3, 4)
@@ -630,7 +630,7 @@
 // disturb applies a random disturbance to a node.
 func disturb(t *rapid.T, f *fleet, node *simNode) {
 	node.disturbedAt = f.now
-	switch rapid.SampledFrom([]string{"kill", "start", "freeze", "wake", "cut", "heal", "refuse", "time out", "serve", "time out watches"}).Draw(t, "disturbance") {
+	switch rapid.SampledFrom([]string{"kill", "start", "freeze", "wake", "cut", "heal", "refuse", "time out", "serve", "time out long polls"}).Draw(t, "disturbance") {
 	case "kill":
 		node.up = false
 	case "start":
@@ -652,7 +652,7 @@
 		node.access = unresponsive
 	case "serve":
 		node.access = available
-	case "time out watches":
+	case "time out long polls":
 		node.access = longPollUnresponsive
 	}
 }
--- a/internal/replication/lapse.go
+++ b/internal/replication/lapse.go
@@ -10,9 +10,9 @@
 // A worker that can't reach the store can't renew its record, and the store expires it: a
 // partition between machines and the store removes the records of live workers. The node on the
 // worker's machine is usually partitioned too. When its worker's record expires, it requests that
-// record from the store. While it gets no response, it retains the worker, since it can't tell
-// whether the worker has ended. Once the store responds, the store's view of the record counts,
-// after a delay in which a live worker has written it again.
+// record from the store. While it gets no response, it retains the worker, that is, continues to
+// serve it, since it can't tell whether the worker has ended. Once the store responds, the
+// store's view of the record counts, after a delay in which a live worker has written it again.
 //
 // Only that record is requested. Polls for changes bring whole configurations, which on a narrow
 // link take longer than the timeout, so their failure does not show that the store is
--- a/internal/replication/lapse_test.go
+++ b/internal/replication/lapse_test.go
@@ -34,7 +34,7 @@
 		}
 		must.Len(t, 1, isolated.machine.Lapses())
 		isolated.access = available
-		f.run(2 * time.Second) // less than contactS, within which the node is not held to what the store says
+		f.run(2 * time.Second) // less than the 3 s after which overdueNodes expects the node to be up to date
 		must.False(t, isolated.retains)
 	}
 }
@@ -68,7 +68,7 @@
 	}
 	const seconds = 10
 	usual := seconds/(longPollShare*freshness.Seconds()) + 1
-	must.LessEq(t, usual+2, float64(f.polls)) // the check beside the reader's polls
+	must.LessEq(t, usual+2, float64(f.polls)) // the check in addition to the reader's polls
 }
 
 // A node whose polls for changes fail while the store responds to small requests does not retain
--- a/internal/replication/machine.go
+++ b/internal/replication/machine.go
@@ -67,17 +67,17 @@
 	announcedPeers map[string]bool
 	fastNodes      map[string]bool // nodes known to have fast links
 
-	reading          bool // whether this node reads the store for its zone
-	polling          bool
-	polledAt         time.Time // when the last poll was sent
-	polledSnapshot   bool      // whether the last poll was for a full snapshot
-	nextPoll         time.Time
-	failures         int       // consecutive polls that failed
-	needSnapshot     bool      // because changes are missing
-	responseUnused   bool      // whether the last response of the store was older than the catalog; logged only once in a row
-	workerRecorded   bool      // whether this node's worker has been recorded since the start
-	longPollTimedOut bool      // whether the last poll for changes timed out; one for a full snapshot may still succeed
-	shortPollUntil   time.Time // until when polls wait shortPollShare only
+	reading           bool // whether this node reads the store for its zone
+	polling           bool
+	polledAt          time.Time // when the last poll was sent
+	polledSnapshot    bool      // whether the last poll was for a full snapshot
+	nextPoll          time.Time
+	failures          int       // consecutive polls that failed
+	needSnapshot      bool      // because changes are missing
+	lastResponseOlder bool      // whether the last response of the store was older than the catalog; only the first in a row is logged
+	workerRecorded    bool      // whether this node's worker has been recorded since the start
+	longPollTimedOut  bool      // whether the last poll for changes timed out; one for a full snapshot may still succeed
+	shortPollUntil    time.Time // until when polls wait shortPollShare only
 
 	following      string // address of the node that is followed, "" for none
 	lastReceived   time.Time
@@ -88,7 +88,7 @@
 
 	lapses    map[string]time.Time // by instance id: when its expired record was last seen
 	ownRecord recordCheck
-	retains   bool
+	retains   bool // whether this node retains its worker: see lapse.go
 
 	nextAnnouncement time.Time
 	announcements    int // sent so far in the rotation
@@ -214,16 +214,16 @@
 // during the outage, and a node that excluded its usual source would follow nodes that follow it
 // in turn. Without this, a change within a second after an outage of 3 s took up to 1.5 s to
 // reach 48 nodes in two zones instead of 0.3 s, and the store was polled 46 times instead of 30
-// in the next four seconds (virtual time, TestChangeAfterStoreOutage).
+// in the next four seconds (virtual time, TestChangeAfterStoreOutageIsNotDelayed).
 func (m *Machine) clearExclusions() { m.exclusions = map[string]exclusion{} }
 
 // logOlderResponse logs the first of consecutive responses that are older than the catalog.
 func (m *Machine) logOlderResponse(batch catalog.Batch) {
 	older := batch.Point().Compare(m.state.Point()) < 0
-	if older && !m.responseUnused {
-		m.emit(Log{Event: EventAnswerOlder, Revision: batch.To})
+	if older && !m.lastResponseOlder {
+		m.emit(Log{Event: EventResponseOlder, Revision: batch.To})
 	}
-	m.responseUnused = older
+	m.lastResponseOlder = older
 }
 
 // pollInterval returns the delay between a response that brought changes and the next poll. When
@@ -240,7 +240,7 @@
 func (m *Machine) onPollFailed(event PollFailed, now time.Time) {
 	m.polling = false
 	if event.HistoryGone {
-		if !m.responseUnused {
+		if !m.lastResponseOlder {
 			m.emit(Log{Event: EventHistoryGone})
 		}
 		m.needSnapshot = true
--- a/internal/replication/prefer.go
+++ b/internal/replication/prefer.go
@@ -132,8 +132,9 @@
 	return ""
 }
 
-// readerWithoutPreference returns the node that reads the store as long as the zone does not know
-// that this node is preferred, "" if this node is not.
+// readerWithoutPreference returns the first node of this zone that is not preferred, which reads
+// the store as long as it does not know that this node is preferred. It returns "" if this node
+// is not preferred or all nodes of the zone are.
 func (m *Machine) readerWithoutPreference() string {
 	if !slices.Contains(m.preferredInZone(), m.config.Self) {
 		return ""
--- a/internal/replication/region.go
+++ b/internal/replication/region.go
@@ -70,8 +70,9 @@
 	)
 }
 
-// isZoneHead reports whether no eligible node of this zone ranks before this one.
-func (m *Machine) isZoneHead(now time.Time) bool {
+// isFirstEligible reports whether no eligible node of this zone ranks before this one. Unlike
+// firstOfZone, it does not skip this node while its own polls fail.
+func (m *Machine) isFirstEligible(now time.Time) bool {
 	for _, candidate := range m.ranked {
 		if candidate.zone != m.config.Zone || candidate.address == m.config.Self {
 			return true
@@ -98,11 +99,11 @@
 	return above
 }
 
-// upstream returns the node that the first node of a zone follows while it serves: one of an
-// earlier zone of the region, else one of an earlier region. It is "" for all other nodes, for
-// the first node overall, and if there is only one region.
+// upstream returns the eligible node of an earlier zone of the region, else of an earlier region,
+// that this node follows as the first node of its zone. It is "" for all other nodes, for the
+// first node overall, and if there is only one region.
 func (m *Machine) upstream(now time.Time) string {
-	if len(m.upstreamPeers) == 0 || !m.isZoneHead(now) {
+	if len(m.upstreamPeers) == 0 || !m.isFirstEligible(now) {
 		return ""
 	}
 	for _, candidate := range m.upstreamPeers {
@@ -116,17 +117,17 @@
 // isBackupReader reports whether this node should poll the store although another node is the
 // reader.
 func (m *Machine) isBackupReader(now time.Time) bool {
-	if !m.multiRegion || !m.isZoneHead(now) {
+	if !m.multiRegion || !m.isFirstEligible(now) {
 		return false
 	}
 	age, known := m.Age(now)
 	return known && age > m.share(backupPollShare)
 }
 
-// probesStore reports whether this node should test if the store serves it again: it would be the
-// reader for all, but follows another region because the store rejected its polls.
+// probesStore reports whether this node should test whether the store serves it again: it would
+// be the reader for all, but follows another node because its last poll failed.
 func (m *Machine) probesStore(now time.Time) bool {
-	return m.multiRegion && m.failures > 0 && m.isZoneHead(now) && m.upstream(now) == ""
+	return m.multiRegion && m.failures > 0 && m.isFirstEligible(now) && m.upstream(now) == ""
 }
 
 // staleThresholdShare returns the age, as a share of Config.Freshness, from which this node
--- a/internal/replication/region_test.go
+++ b/internal/replication/region_test.go
@@ -139,7 +139,7 @@
 
 // If the global reader, its zone or its region fails, or the store rejects it or leaves it
 // without a response, all nodes in contact with the store still receive changes in time.
-func TestGlobalReaderFails(t *testing.T) {
+func TestRegionsStayFreshWhenGlobalReaderFails(t *testing.T) {
 	disturb := map[string]func(*fleet, *simNode){
 		"killed":               func(_ *fleet, node *simNode) { node.up = false },
 		"frozen":               func(_ *fleet, node *simNode) { node.frozen = true },
@@ -178,7 +178,7 @@
 // When the global reader fails, the first node of each zone polls the store for its zone. The
 // other nodes neither poll the store nor look for another node to follow, and none is behind for
 // long.
-func TestZoneHeadsTakeOverFromFailedReader(t *testing.T) {
+func TestFirstNodesTakeOverFromFailedReader(t *testing.T) {
 	disturb := map[string]func(*fleet, *simNode){
 		"frozen": func(_ *fleet, reader *simNode) { reader.frozen = true },
 		"region rejected": func(f *fleet, reader *simNode) {
@@ -207,7 +207,7 @@
 
 // The store rejects a third of the nodes, or leaves them without a response; all nodes still
 // receive changes in time.
-func TestStoreRejectsThirdOfNodes(t *testing.T) {
+func TestRegionsStayFreshWhenStoreRejectsThirdOfNodes(t *testing.T) {
 	for name, access := range map[string]storeAccess{"rejected": refuses, "unresponsive": unresponsive} {
 		t.Run(name, func(t *testing.T) {
 			f := newRegionFleet(3, 2, 8)
--- a/internal/replication/start_test.go
+++ b/internal/replication/start_test.go
@@ -44,15 +44,15 @@
 	m := New(Config{Self: "10.0.0.1", Zone: "z", Freshness: 2 * time.Second}, started)
 	m.Step(Tick{}, started)
 	m.Step(PollSucceeded{Batch: catalog.Batch{To: 5, Snapshot: true}, ConfirmedAt: started}, started)
-	asked := m.polledAt
+	polledAt := m.polledAt
 	resumed := started.Add(pause)
 	m.Step(PollSucceeded{Batch: catalog.Batch{From: 5, To: 5}, ConfirmedAt: resumed}, resumed)
-	must.Eq(t, asked, m.Confirmed())
+	must.Eq(t, polledAt, m.Confirmed())
 	must.True(t, m.polling, must.Sprint("polls at once"))
 
 	m.following = "10.0.0.2"
 	m.onUpdate(Update{From: "10.0.0.2", Reader: "10.0.0.2", Batch: catalog.Batch{From: 5, To: 5}, Age: 50 * time.Millisecond}, resumed)
-	must.Eq(t, asked, m.Confirmed(), must.Sprint("update that may have been queued"))
+	must.Eq(t, polledAt, m.Confirmed(), must.Sprint("update that may have been queued"))
 	later := resumed.Add(time.Second)
 	m.onUpdate(Update{From: "10.0.0.2", Reader: "10.0.0.2", Batch: catalog.Batch{From: 5, To: 5}, Age: 50 * time.Millisecond}, later)
 	must.Eq(t, later.Add(-50*time.Millisecond), m.Confirmed())
--- a/internal/replicator/poll_test.go
+++ b/internal/replicator/poll_test.go
@@ -46,11 +46,11 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Config{Address: "10.0.0.1", Freshness: time.Second, Store: store, Problem: func(error) {}, Now: time.Now})
-		asked := time.Now()
+		polledAt := time.Now()
 		r.pollStore(t.Context(), replication.Poll{After: 7})
-		event, took = <-r.inputs, time.Since(asked)
+		event, took = <-r.inputs, time.Since(polledAt)
 		if succeeded, ok := event.(replication.PollSucceeded); ok {
-			must.Eq(t, asked.Add(store.responseDelay), succeeded.ConfirmedAt)
+			must.Eq(t, polledAt.Add(store.responseDelay), succeeded.ConfirmedAt)
 		}
 	})
 	return event, took
--- a/internal/replicator/replicator.go
+++ b/internal/replicator/replicator.go
@@ -52,7 +52,8 @@
 	// Changed is called after each change with the state and the instances whose records have
 	// expired. It blocks the owner goroutine, and must not retain the state.
 	Changed func(*catalog.State, []replication.Lapse)
-	// Retain is called when this node starts or stops vouching for a worker without a record.
+	// Retain is called when this node starts or stops retaining its local worker, whose record has
+	// expired: see replication.Retain.
 	Retain func(bool)
 	// Received is called with the size of each store response, in bytes. It must not block; nil:
 	// not called.
@@ -97,8 +98,8 @@
 	return &Replicator{config: config, machine: machine, inputs: make(chan any, inputQueue), followers: map[*follower]struct{}{}, announcing: map[string]bool{}}
 }
 
-// ReportSeen reports that another node has contacted this one. It does not block: if the queue is full,
-// the report is dropped.
+// ReportSeen reports that another node has contacted this one. It does not block: if the queue is
+// full, the report is dropped.
 func (r *Replicator) ReportSeen(address string) {
 	select {
 	case r.inputs <- replication.PeerSeen{Address: address}:
@@ -223,23 +224,23 @@
 	timer := time.AfterFunc(r.timeout(poll), cancel)
 	defer timer.Stop()
 	var startedAt time.Time // when the response began to arrive
-	answer, err := r.fetch(pollCtx, poll, func() {
+	response, err := r.fetch(pollCtx, poll, func() {
 		if startedAt.IsZero() {
 			startedAt = r.config.Now()
 			timer.Reset(r.share(snapshotTimeoutShare))
 		}
 	})
 	if err != nil {
-		silent := startedAt.IsZero() && pollCtx.Err() != nil
-		r.submit(ctx, replication.PollFailed{Err: err, HistoryGone: errors.Is(err, ErrHistoryGone), TimedOut: silent})
+		timedOut := startedAt.IsZero() && pollCtx.Err() != nil
+		r.submit(ctx, replication.PollFailed{Err: err, HistoryGone: errors.Is(err, ErrHistoryGone), TimedOut: timedOut})
 		return
 	}
 	if r.config.Received != nil {
-		r.config.Received(answer.Bytes)
+		r.config.Received(response.Bytes)
 	}
 	// The response lacks what was written while it was in transit, so it confirms the state of
 	// the store at its start.
-	r.submit(ctx, replication.PollSucceeded{Batch: answer.Batch(r.config.Problem), ConfirmedAt: startedAt})
+	r.submit(ctx, replication.PollSucceeded{Batch: response.Batch(r.config.Problem), ConfirmedAt: startedAt})
 }
 
 // checkRecord requests one record from the store and reports to the owner whether the store
