--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// Batch leads from one revision of the store to another. If Whole is set, it is a full snapshot;
-// otherwise it contains the changes after From. All revisions are of one era.
+// Batch leads from one revision of the store to another. If Snapshot is set, it is a full
+// snapshot; otherwise it contains the changes after From. All revisions are of one era.
 type Batch struct {
 	Era      uint64   `json:"era,omitempty"`
 	From     uint64   `json:"from"`
--- a/internal/catalog/item.go
+++ b/internal/catalog/item.go
@@ -25,10 +25,10 @@
 // Batch returns the valid contents of a response. It calls problem for each invalid item and
 // leaves that item out. Of several configurations it takes the newest valid one and does not
 // decode the earlier ones.
-func (a *StoreResponse) Batch(problem func(error)) Batch {
-	batch := Batch{Era: a.Era, From: a.From, To: a.To, Snapshot: a.Snapshot}
+func (r *StoreResponse) Batch(problem func(error)) Batch {
+	batch := Batch{Era: r.Era, From: r.From, To: r.To, Snapshot: r.Snapshot}
 	configured := false
-	for _, item := range slices.Backward(a.Items) {
+	for _, item := range slices.Backward(r.Items) {
 		item.rejectInvalid()
 		change := Change{Revision: item.Revision, Instance: item.Instance, Evacuation: item.Evacuation, Removed: item.Removed}
 		if item.Err != nil {
--- a/internal/catalog/item_test.go
+++ b/internal/catalog/item_test.go
@@ -31,7 +31,7 @@
 func TestBatchLeavesOutInvalidItems(t *testing.T) {
 	bad := validConfiguration(4)
 	bad.Routes[0].Targets[0].Service = "unknown"
-	answer := StoreResponse{From: 1, To: 9, Items: []Item{
+	response := StoreResponse{From: 1, To: 9, Items: []Item{
 		{Revision: 2, Configuration: func() (*Configuration, error) { t.Error("an earlier configuration was decoded"); return nil, nil }},
 		{Revision: 3, Configuration: decoder(validConfiguration(3), nil)},
 		{Revision: 4, Instance: validInstance("i-1")},
@@ -43,7 +43,7 @@
 		{Revision: 8, Removed: "i-2"},
 	}}
 	problems := 0
-	batch := answer.Batch(func(error) { problems++ })
+	batch := response.Batch(func(error) { problems++ })
 	must.Eq(t, 5, problems)
 	must.Eq(t, Batch{From: 1, To: 9, Changes: []Change{
 		{Revision: 3, Configuration: validConfiguration(3)},
@@ -54,7 +54,7 @@
 	}}, batch)
 }
 
-func TestInstanceValidation(t *testing.T) {
+func TestInvalidInstanceRecordsAreRejected(t *testing.T) {
 	must.NoError(t, validInstance("i-1").Validate())
 	for name, corrupt := range map[string]func(*Instance){
 		"has the id":        func(i *Instance) { i.ID = "" },
--- a/internal/catalog/state_test.go
+++ b/internal/catalog/state_test.go
@@ -43,7 +43,7 @@
 // An instance whose record is removed without announcing that it leaves may still run. It stays
 // in Lapsed until its record is back, another instance records its address, or it is forgotten.
 // An instance that had announced that it leaves is not listed.
-func TestLapsedInstances(t *testing.T) {
+func TestRemovedInstanceIsLapsedUnlessLeaving(t *testing.T) {
 	lapsed := func(changes ...Change) []Instance {
 		s := NewState()
 		leaving := &Instance{ID: "b", Address: "10.0.0.2:80", Draining: true}
@@ -257,7 +257,7 @@
 }
 
 // Evacuations and their ends reach a peer both as changes and in a snapshot.
-func TestEvacuations(t *testing.T) {
+func TestEvacuationsReachPeers(t *testing.T) {
 	s, peer := NewState(), NewState()
 	s.Apply(Batch{Snapshot: true, To: 2, Changes: []Change{{Revision: 1, Configuration: &Configuration{Version: 1}}, {Revision: 2, Evacuation: &Evacuation{Zone: "z1"}}}})
 	peer.Apply(s.Since(peer.Position()))
