--- a/internal/quota/keeper/keeper_test.go
+++ b/internal/quota/keeper/keeper_test.go
@@ -60,7 +60,7 @@
 			return
 		}
 		must.Between(t, 0, message.Tokens, maxTokens)
-		must.Between(t, 0, message.Wait, maxWait)
+		must.Between(t, 0, message.Wait, maxReplyWait)
 		must.True(t, message.Kind == quota.Reply || message.Kind == quota.Cancel || message.Tenant != "" && message.Tokens > 0)
 		again, err := encode(message)
 		must.NoError(t, err)
--- a/internal/quota/keeper/wire.go
+++ b/internal/quota/keeper/wire.go
@@ -10,9 +10,9 @@
 
 // Bounds on received messages.
 const (
-	maxDatagram = 2 << 10     // bytes; the name of the tenant is the long part
-	maxTokens   = 1000        // tokens
-	maxWait     = time.Minute // of a reply
+	maxDatagram  = 2 << 10     // bytes; the name of the tenant is the long part
+	maxTokens    = 1000        // tokens
+	maxReplyWait = time.Minute // of a reply
 )
 
 // wireMessage is a message between nodes: one line of JSON in one datagram, 20 to 60 bytes plus
@@ -63,7 +63,7 @@
 		return quota.Message{}, fault.Wrap(err, fault.Peer, remedy, "decode quota datagram")
 	}
 	message := quota.Message{Tenant: wire.Tenant, Tokens: wire.Tokens, NoStripe: wire.NoStripe, Wait: time.Duration(wire.Wait) * time.Millisecond}
-	if wire.Tokens < 0 || wire.Tokens > maxTokens || wire.Wait < 0 || wire.Wait > maxWait.Milliseconds() {
+	if wire.Tokens < 0 || wire.Tokens > maxTokens || wire.Wait < 0 || wire.Wait > maxReplyWait.Milliseconds() {
 		return quota.Message{}, fault.New(fault.Peer, remedy, "quota message out of bounds: %d tokens, wait of %d ms", wire.Tokens, wire.Wait)
 	}
 	isRequest := wire.Tenant != "" && wire.Tokens > 0
--- a/internal/quota/machine.go
+++ b/internal/quota/machine.go
@@ -166,8 +166,8 @@
 // fillsFrom returns the time from which a new stripe of this node fills. Until a change has
 // reached all nodes, the previous node of the stripe may still grant its tokens. A node that
 // starts does not wait for its own record to propagate: most nodes had the same stripes before
-// the restart, and if a quarter of new nodes is added, a new node takes over the stripes of a
-// fifth of the others at worst.
+// the restart, and if the number of nodes grows by a quarter, a new node takes over the stripes
+// of a fifth of the others at worst.
 func (m *Machine) fillsFrom(tenant *tenantState) time.Time {
 	from := m.started
 	for _, changed := range []time.Time{m.hosts.changedAt, tenant.limitChanged} {
--- a/internal/quota/machine_test.go
+++ b/internal/quota/machine_test.go
@@ -222,8 +222,8 @@
 // unresponsive period ends; the others must be rejected at once by the reports of the other
 // stripes.
 //
-// Seen: while machines were replaced, callers of a tenant that sent three times its limit were
-// told 429 after 80 ms, twice the timeout of an unresponsive node.
+// While machines were replaced, callers of a tenant that sent three times its limit got a 429
+// only after 80 ms, twice the timeout of an unresponsive node.
 func TestFloodDoesNotWaitForUnresponsiveNode(t *testing.T) {
 	m := New(Config{Settings: exampleSettings, Self: ownAddress, Zone: "z0", PropagationDelay: maxPropagation, Random: rand.NewPCG(1, 2)}, startTime)
 	m.Step(Configured{Tenants: []catalog.Tenant{{Name: "press", RatePerSecond: 10, Burst: 10}}, Hosts: hostsIn(3, 3)}, startTime)
--- a/internal/quota/peer_messages.go
+++ b/internal/quota/peer_messages.go
@@ -45,7 +45,7 @@
 	id   uint32
 }
 
-// recentGrant is the grant made to a query, kept while it may be cancelled.
+// recentGrant is the grant made to a query, retained while it may be cancelled.
 type recentGrant struct {
 	tenant string
 	tokens int
--- a/internal/quota/placement.go
+++ b/internal/quota/placement.go
@@ -115,8 +115,8 @@
 
 // rank returns a host's rank for a tenant. It does not depend on other hosts, so that adding or
 // removing a host changes no other rank.
-func (l hashedHost) rank(tenant uint64) rankedHost {
-	return rankedHost{Host: l.Host, rank: mix(l.hash ^ tenant)}
+func (h hashedHost) rank(tenant uint64) rankedHost {
+	return rankedHost{Host: h.Host, rank: mix(h.hash ^ tenant)}
 }
 
 // deal returns the hosts for a number of stripes of a tenant, by rank within each zone and
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -34,8 +34,8 @@
 	t.Helper()
 	used, name := f.worstBoundUse()
 	servedPart := servedShare(f.tenants...)
-	seconds := float64(len(f.nodes))
-	t.Logf("served %.3f of the requests within the limits; %s used %.2f of its bound; %.0f messages with %.0f kB per node", servedPart, name, used, float64(f.messages)/seconds, float64(f.bytes)/seconds/1000)
+	nodes := float64(len(f.nodes))
+	t.Logf("served %.3f of the requests within the limits; %s used %.2f of its bound; %.0f messages with %.0f kB per node", servedPart, name, used, float64(f.messages)/nodes, float64(f.bytes)/nodes/1000)
 	must.LessEq(t, 1, used, must.Sprint(name))
 	must.GreaterEq(t, minServed, servedPart)
 }
--- a/internal/quota/stripe.go
+++ b/internal/quota/stripe.go
@@ -44,7 +44,7 @@
 }
 
 // take grants up to the requested number of tokens. If it grants none, wait is the time until a
-// token for this caller, provided that callers rejected before it retry when they were told to.
+// token for this caller, provided that the callers rejected before it retry after their waits.
 func (s *stripe) take(requested int, now time.Time) (granted int, wait time.Duration) {
 	s.fill(now)
 	granted = min(requested, int(s.level))
--- a/internal/quota/token_queries.go
+++ b/internal/quota/token_queries.go
@@ -24,7 +24,7 @@
 	// eight.
 	maxUnresponsive = 2
 	// noStripeBackoff is how long a node that reported NoStripe is not queried. By then the
-	// change that one of the two nodes has not yet observed has mostly reached it.
+	// change of the catalog that one of the two nodes lacks has mostly reached it.
 	noStripeBackoff = 500 * time.Millisecond
 )
 
@@ -235,8 +235,8 @@
 	}
 }
 
-// expire handles everything that is due: hosts, timed-out queries, past grants and unused
-// tokens.
+// expire removes expired hosts, grants and unresponsive periods, times out queries and returns
+// unused tokens.
 func (m *Machine) expire(now time.Time) {
 	m.hosts.expire(now)
 	for host, until := range m.unresponsiveUntil {
