--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,10 +1,11 @@
 // Package quarantine keeps requests that crash every worker that runs them away from further
-// workers. Such a request is retried under another id on any node: copies are recognized by a
-// fingerprint of their content, and all nodes share what they observe of it.
+// workers. Callers retry such a request with another id through any node, so copies are
+// recognized by a fingerprint of their content, and all nodes share what they observe of it.
 //
 // The state is a set of records that grows until they expire: which worker crashed under which
-// request, which request was tried again and which was released. Nodes merge their records in
-// any order, so that no node decides for the others, and messages may be lost or duplicated.
+// request, which request was sent to a worker as a trial and which was released. Nodes merge
+// their records in any order, so that no node decides for the others, and messages may be lost
+// or duplicated.
 //
 // The state machine is pure: Step takes an event and the time and returns effects. Times are
 // those of package clock.
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -11,7 +11,7 @@
 const (
 	// crashesToHold is the number of worker crashes under a request after which it is held. A
 	// crash affects all requests that the worker runs, and a second worker may crash while it
-	// runs retries of the same requests: with two crashes, one of six innocent requests beside
+	// runs retries of the same requests: with two crashes, one of six innocent requests run with
 	// a poison one would be held (computed: both are retried on one of six workers). The
 	// operators accept three crashes.
 	crashesToHold = 3
@@ -20,8 +20,8 @@
 	// request that is sent once a day crashes three workers and no more.
 	retention = 24 * time.Hour
 
-	// retentionMargin rejects received records that are about to expire. Otherwise a record
-	// removed here could return from a node that removes it a little later.
+	// retentionMargin is the remaining retention below which a received record is rejected.
+	// Otherwise a record removed here could return from a node that removes it a little later.
 	retentionMargin = time.Minute
 
 	// maxRequests bounds the requests with records: 2 MB at most. Each worker that crashes adds
--- a/internal/quarantine/machine.go
+++ b/internal/quarantine/machine.go
@@ -28,8 +28,9 @@
 
 	// queryInterval is the interval at which a node that has records queries one other node:
 	// some 150 bytes a second in both directions. The queried node queries back, so that a node
-	// that missed all messages is found by nodes with records. A node that was cut off queries
-	// or is queried within the three seconds after which it counts as in contact.
+	// that missed all messages is found by nodes with records. After a partition each node
+	// queries or is queried within three seconds, after which it counts as in contact and the
+	// bound on further sends of a request applies to it.
 	queryInterval = 2 * time.Second
 
 	// fastQueryInterval replaces queryInterval for fastQueryTime after a new record: nodes
@@ -56,8 +57,8 @@
 	idleTickInterval = time.Second
 
 	// peerRetention is how long a node that is no longer in the catalog is still sent messages
-	// and queries, since its worker may have terminated temporarily. maxPeers bounds the number
-	// of peers.
+	// and queries, since its worker may be down only for a while. maxPeers bounds the number of
+	// peers.
 	peerRetention = 10 * time.Minute
 	maxPeers      = 4096
 )
