--- a/internal/snapshot/catalog.go
+++ b/internal/snapshot/catalog.go
@@ -31,11 +31,12 @@
 	ColdStart     time.Duration // duration of the cold start of workers of its service
 	ColdPerSecond float64       // requests a second that it can serve while it is cold; 0: not bounded
 	HealthPath    string        // path of its health check; "" if it has none
-	Lapsed        bool          // whether its record expired without a deregistration
+	Lapsed        bool          // whether its record was removed although it had not announced that it leaves
 	AcceptedUntil time.Time     // if Lapsed: until when, by package clock, it may still receive requests
 }
 
-// LapsedInstance is an instance whose record expired without a deregistration.
+// LapsedInstance is an instance whose record was removed although it had not announced that it
+// leaves.
 type LapsedInstance struct {
 	catalog.Instance
 	AcceptedUntil time.Time // until when, by package clock, it may still receive requests
--- a/internal/snapshot/entry.go
+++ b/internal/snapshot/entry.go
@@ -63,7 +63,7 @@
 }
 
 // decode decodes a body and checks the rules for single items.
-func decode[T declaration.Item](resource Resource) (value any, sound bool, err error) {
+func decode[T declaration.Item](resource Resource) (value any, valid bool, err error) {
 	var item T
 	if err := json.Unmarshal(resource.Body, &item); err != nil {
 		return nil, false, fault.Wrap(err, fault.Peer, "pull from another peer", "decode %s", resource.Key)
--- a/internal/snapshot/resolve_compile.go
+++ b/internal/snapshot/resolve_compile.go
@@ -31,8 +31,8 @@
 	schedules []int // indices into Compiled.schedules
 }
 
-func (g zoneSelector) open(schedules []bool) bool {
-	return g.always || slices.ContainsFunc(g.schedules, func(index int) bool { return schedules[index] })
+func (s zoneSelector) open(schedules []bool) bool {
+	return s.always || slices.ContainsFunc(s.schedules, func(index int) bool { return schedules[index] })
 }
 
 // candidate is a worker that may be selected.
--- a/internal/snapshot/tenants_test.go
+++ b/internal/snapshot/tenants_test.go
@@ -10,7 +10,7 @@
 
 // The weight of a tenant must be its limit; that of a tenant without a limit, the highest
 // limit; and that of an unknown tenant, the mean of all weights.
-func TestTenantWeights(t *testing.T) {
+func TestTenantWeightFollowsLimits(t *testing.T) {
 	view := &View{}
 	must.Eq(t, 1, view.TenantWeight("any"))
 	view.SetTenants([]catalog.Tenant{})
--- a/internal/snapshot/view.go
+++ b/internal/snapshot/view.go
@@ -20,7 +20,7 @@
 	Connections int
 	ReadySince  time.Time // when this node first observed that it is ready, for slow start
 	Local       bool      // whether it is the local worker
-	Lapsed      bool      // whether its record expired without a deregistration; its node knows whether the worker still runs
+	Lapsed      bool      // whether its record was removed although it had not announced that it leaves; its node checks whether the worker still runs
 }
 
 // Route is a declared route, resolved for use by traffic.
