--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -180,8 +180,9 @@
 	n.logPublished(before, view, state.Revision())
 }
 
-// lapsedFraction is the share of drain.worker, the time during which a leaving worker may
-// still be sent requests, that applies to an instance whose record was removed.
+// lapsedFraction is the fraction of drain.worker for which an instance may be sent requests
+// after its record was removed although it had not announced that it leaves. A leaving worker
+// may be sent requests for the whole of drain.worker.
 const lapsedFraction = 0.75
 
 // lapsed returns the deadlines until which instances whose records were removed may be sent
@@ -195,7 +196,7 @@
 	return lapsed
 }
 
-// retain sets whether this node stays responsible for a local worker whose record was removed.
+// retain sets whether this node continues to serve a local worker whose record was removed.
 func (n *CatalogNode) retain(retains bool) {
 	n.inbound.Retain(retains)
 	logging.Event(n.options.Logger, "worker.retained", logging.Fields{"retains": retains})
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -39,11 +39,11 @@
 		}, func() float64 { open, _ := l.counts(); return float64(open) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "sliphead_connections_refused_total", Help: "Connections beyond the bound.", ConstLabels: labels,
-		}, func() float64 { _, refused := l.counts(); return float64(refused) }),
+		}, func() float64 { _, rejected := l.counts(); return float64(rejected) }),
 	)
 }
 
-func (l *connectionLimit) counts() (open int, refused uint64) {
+func (l *connectionLimit) counts() (open int, rejected uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.open, l.rejected
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -35,7 +35,7 @@
 	return values
 }
 
-func TestControlMetrics(t *testing.T) {
+func TestControlMetricsMatchStatus(t *testing.T) {
 	now := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	status := control.Status{Name: "a", Version: version.Version{Epoch: 2, Revision: 7}, Members: []wire.Member{
 		{Status: wire.StatusAlive}, {Status: wire.StatusAlive}, {Status: wire.StatusSuspect},
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -130,7 +130,8 @@
 	return liveness.Dialer(local, dialTimeout).DialContext
 }
 
-// dialTimeout limits opening a connection for a request.
+// dialTimeout limits opening a connection for a request. Traffic also applies
+// Limits.ConnectTimeout, which is shorter.
 const dialTimeout = 2 * time.Second
 
 // start serves until ctx ends.
--- a/internal/node/stop_plan.go
+++ b/internal/node/stop_plan.go
@@ -23,9 +23,9 @@
 // The times of a planned stop, as fractions of the time allowed for it.
 const (
 	maxServing      = 0.3  // maximum length of stopServing
-	callerGrace     = 0.5  // how long callers are served when the platform was not seen to notice the stop
+	callerGrace     = 0.5  // how long callers are served if the platform has not requested readiness often enough to notice the stop
 	strictAdmission = 0.45 // after it, only requests that finish before the process exits are admitted
-	maxCallerWait   = 0.1  // maximum wait after the handover, alongside the last request at the worker, for callers that keep coming
+	maxCallerWait   = 0.1  // maximum wait from the handover for callers that keep coming; it overlaps the wait for the last request at the worker
 	forcedEnd       = 0.9  // after it the process exits even if requests are in flight
 )
 
--- a/internal/node/stop_plan_test.go
+++ b/internal/node/stop_plan_test.go
@@ -78,7 +78,7 @@
 	must.LessEq(t, 2700*time.Millisecond, entered[stopEnded])
 }
 
-// A request that does not finish delays the stop until its last phase and no longer.
+// A request that does not finish delays the stop until forcedEnd and no longer.
 func TestStopEndsWithinTheTimeAllowed(t *testing.T) {
 	entered := simulateStop(func(passed time.Duration, _ stopPhase) stopState {
 		return stopState{notReadyReplies: notReadyRepliesAt(passed), workerRequests: 1, callerRequests: 1}
