--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -29,7 +29,7 @@
 	mutex         sync.Mutex
 	changed       *sync.Cond
 	queue         []*response
-	pendingBytes  int  // bytes of responses that wait for their turn
+	pendingBytes  int  // bytes of responses that wait for earlier ones
 	readerIdle    bool // whether the reader waits for bytes outside of a request
 	readerBlocked bool // whether it waits only until the queue is empty
 	closing       bool // whether no further request is accepted
@@ -152,8 +152,8 @@
 	return c.enqueue(answer, handler.ServeHTTP) && !request.Close
 }
 
-// rejects reports whether a request is rejected by RejectClosing in its turn. A request with a
-// body is not, since the body would have to be read to its end first.
+// rejects reports whether a request is rejected by RejectClosing. A request with a body is not,
+// since the body would have to be read to its end first.
 func (c *connection) rejects(request *http.Request) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -196,7 +196,7 @@
 
 func (c *connection) newResponse(request *http.Request) *response {
 	ctx, cancel := context.WithCancel(c.context)
-	return &response{conn: c, request: request.WithContext(ctx), cancel: cancel, header: http.Header{}, turn: make(chan struct{})}
+	return &response{conn: c, request: request.WithContext(ctx), cancel: cancel, header: http.Header{}, earlierDone: make(chan struct{})}
 }
 
 // enqueue starts a request. It returns false when the connection is closing; the request then
@@ -209,7 +209,7 @@
 		return false
 	}
 	if len(c.queue) == 0 {
-		close(answer.turn)
+		close(answer.earlierDone)
 	}
 	c.queue = append(c.queue, answer)
 	go c.run(answer, handle)
@@ -244,7 +244,7 @@
 // If its own response is incomplete it aborts the connection: requests pipelined after it
 // count as not read.
 func (c *connection) finishRequest(answer *response, complete bool) {
-	if answer.awaitTurn(0) != nil {
+	if answer.awaitEarlier(0) != nil {
 		complete = false
 	}
 	answer.release()
@@ -270,7 +270,7 @@
 		}
 		c.queue = append(c.queue[:index], c.queue[index+1:]...)
 		if index == 0 && len(c.queue) > 0 {
-			close(c.queue[0].turn)
+			close(c.queue[0].earlierDone)
 		}
 		return
 	}
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -14,17 +14,17 @@
 // response is the response to one request, and its http.ResponseWriter. It writes to the
 // connection once all responses before it are complete; until then Write and Flush block.
 type response struct {
-	conn       *connection
-	request    *http.Request
-	cancel     context.CancelFunc
-	body       *requestBody  // nil: the request has no body
-	concurrent bool          // whether the request may run concurrently with others of its connection
-	turn       chan struct{} // closed once the responses before it are complete
+	conn        *connection
+	request     *http.Request
+	cancel      context.CancelFunc
+	body        *requestBody  // nil: the request has no body
+	concurrent  bool          // whether the request may run concurrently with others of its connection
+	earlierDone chan struct{} // closed once the responses before it are complete
 
 	header         http.Header
 	status         int        // final status, 0: not yet set
 	deadline       time.Time  // zero: none
-	hasTurn        bool       // whether it may write to the connection, since its turn has come
+	mayWrite       bool       // whether it may write to the connection, since the responses before it are complete
 	headerMutex    sync.Mutex // guards headerSent, and writes of informational responses before the final one
 	headerSent     bool       // whether the header has been written
 	declaredLength int64      // declared by Content-Length, -1: none
@@ -80,7 +80,7 @@
 // isFirst reports, without blocking, whether the responses before this one are complete.
 func (r *response) isFirst() bool {
 	select {
-	case <-r.turn:
+	case <-r.earlierDone:
 		return true
 	default:
 		return false
@@ -122,7 +122,7 @@
 // it.
 func (r *response) SetWriteDeadline(deadline time.Time) error {
 	r.deadline = deadline
-	if r.hasTurn {
+	if r.mayWrite {
 		return r.conn.conn.SetWriteDeadline(deadline)
 	}
 	return nil
@@ -143,10 +143,10 @@
 	return r.conn.conn.SetReadDeadline(deadline)
 }
 
-// begin waits for this response's turn and writes the header. pending is the number of body
-// bytes that wait for the turn.
+// begin waits for the responses before this one and writes the header. pending is the number of
+// body bytes that wait for them.
 func (r *response) begin(pending int) error {
-	if err := r.awaitTurn(pending); err != nil {
+	if err := r.awaitEarlier(pending); err != nil {
 		return err
 	}
 	r.headerMutex.Lock()
@@ -158,22 +158,22 @@
 	return nil
 }
 
-// awaitTurn returns when the responses before this one are complete, with an error when the
+// awaitEarlier returns when the responses before this one are complete, with an error when the
 // connection ends before.
-func (r *response) awaitTurn(pending int) error {
-	if r.hasTurn {
+func (r *response) awaitEarlier(pending int) error {
+	if r.mayWrite {
 		return nil
 	}
 	if !r.isFirst() {
 		r.conn.addPending(pending)
 		defer r.conn.addPending(-pending)
 		select {
-		case <-r.turn:
+		case <-r.earlierDone:
 		case <-r.conn.context.Done():
 			return r.conn.context.Err()
 		}
 	}
-	r.hasTurn = true
+	r.mayWrite = true
 	r.writer = writers.Get().(*bufio.Writer)
 	r.writer.Reset(r.conn.conn)
 	return r.conn.conn.SetWriteDeadline(r.deadline)
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -30,8 +30,8 @@
 	// may be discarded when its response can't be sent. Nil: no request may.
 	Safe func(*http.Request) bool
 	// RejectClosing rejects requests that arrive after a response that closes the connection,
-	// while other responses are outstanding. Nil: they are not read. A caller may take a
-	// request that is not read for long as lost, and close the connection.
+	// while other responses are outstanding. Nil: they are not read. A caller may treat a
+	// request that stays unread for long as lost, and close the connection.
 	RejectClosing http.Handler
 
 	HeaderTimeout  time.Duration // to read a request's header, from its first byte
@@ -40,8 +40,8 @@
 	// MaxPipelined is the maximum number of requests of one connection that run or wait at
 	// once.
 	MaxPipelined int
-	// MaxPendingBytes is how many bytes of responses of one connection may wait for their turn
-	// before no further request is read.
+	// MaxPendingBytes is how many bytes of responses of one connection may wait for earlier
+	// responses before no further request is read.
 	MaxPendingBytes int
 	Logger          log.Interface
 
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -206,11 +206,11 @@
 
 // A response was lost with its connection although its worker had produced it. A stopping node
 // stopped reading after a response that closes, while other responses were outstanding; the
-// caller gave up the requests that it had sent after it, closed the connection, and lost the
+// caller abandoned the requests that it had sent after it, closed the connection, and lost the
 // responses that it still waited for.
 //
 // So requests that arrive after a response that closes, while others are outstanding, must be
-// read and rejected in their turn, without running.
+// read and rejected in order, without running.
 func TestRequestsAfterAResponseThatClosesAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs atomic.Int32
@@ -244,7 +244,7 @@
 }
 
 // When a caller disconnects, each of its requests is cancelled at once, also those that wait
-// for their turn or for a request that runs alone.
+// for earlier responses or for a request that runs alone.
 func TestCallerDisconnectCancelsAllRequests(t *testing.T) {
 	for name, text := range map[string]string{
 		"ahead":  strings.Repeat("GET /a?for=1h HTTP/1.1\r\nHost: x\r\n\r\n", 3),
@@ -307,7 +307,7 @@
 }
 
 // The number of pipelined requests that run is limited, and so are the bytes of responses that
-// wait for their turn: at either limit no further request is read.
+// wait for earlier ones: at either limit no further request is read.
 func TestPipelinedRequestsAreLimited(t *testing.T) {
 	const bound = 4
 	synctest.Test(t, func(t *testing.T) {
@@ -346,7 +346,7 @@
 }
 
 // Request bodies of known length, in chunks, and with Expect: 100-continue are read in full.
-func TestRequestBodies(t *testing.T) {
+func TestRequestBodiesAreReadInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := dial(t, nil, func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
@@ -483,7 +483,7 @@
 }
 
 // Responses without a length are sent in chunks, and HEAD responses without a body.
-func TestResponseFraming(t *testing.T) {
+func TestResponsesWithoutLengthAreChunked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := dial(t, nil, func(w http.ResponseWriter, r *http.Request) {
 			for _, part := range []string{"one ", "two"} {
