--- a/internal/snapshot/resolve_compiler.go
+++ b/internal/snapshot/resolve_compiler.go
@@ -78,7 +78,7 @@
 
 func missingReference(route declaration.Route, kind Kind, name string) error {
 	return fault.New(fault.Unready, "wait for it, or check that the source serves it",
-		"route %q needs %s %q, which this node does not have", route.Name, kind, name)
+		"route %q needs %s %q, which is not held", route.Name, kind, name)
 }
 
 // pool returns the index of the pool of a route's selectors, which it builds if needed.
--- a/internal/snapshot/set.go
+++ b/internal/snapshot/set.go
@@ -119,7 +119,7 @@
 // from the announced one.
 func (s *Set) Apply(delta Delta) (*Set, error) {
 	if delta.From != s.version {
-		return nil, fault.New(fault.Peer, "pull with the current version", "delta starts at %s, current is %s", delta.From, s.version)
+		return nil, fault.New(fault.Peer, "pull with the version held", "delta starts at %s, held is %s", delta.From, s.version)
 	}
 	entries := slices.Clone(s.entries)
 	for _, key := range delta.Remove {
