--- a/internal/claim/config.go
+++ b/internal/claim/config.go
@@ -12,7 +12,7 @@
 	DefaultKeyLife          = 10 * time.Minute
 	DefaultMaxClaim         = 500 * time.Millisecond
 	DefaultClockSkew        = 10 * time.Second
-	DefaultRetry            = 50 * time.Millisecond
+	DefaultRetryInterval    = 50 * time.Millisecond
 	DefaultGroupSize        = 5
 	DefaultMaxResponseBytes = 16 << 10
 	DefaultResponseBudget   = 4 << 20
@@ -39,8 +39,8 @@
 	// KeyLife.
 	Since     time.Time
 	ClockSkew time.Duration // bound on the difference between the wall clocks of nodes
-	// CopyOnly keeps a replica that cannot recover by copying from voting even
-	// after KeyLife.
+	// With CopyOnly a replica that cannot recover by copying never votes, not
+	// even after KeyLife.
 	CopyOnly bool
 
 	RetryInterval    time.Duration // interval after which an unacknowledged message is resent
@@ -66,7 +66,7 @@
 	defaults.Set(&c.KeyLife, DefaultKeyLife)
 	defaults.Set(&c.MaxClaim, DefaultMaxClaim)
 	defaults.Set(&c.ClockSkew, DefaultClockSkew)
-	defaults.Set(&c.RetryInterval, DefaultRetry)
+	defaults.Set(&c.RetryInterval, DefaultRetryInterval)
 	defaults.Set(&c.GroupSize, DefaultGroupSize)
 	defaults.Set(&c.MaxResponseBytes, DefaultMaxResponseBytes)
 	defaults.Set(&c.ResponseBudget, DefaultResponseBudget)
--- a/internal/claim/coordinator.go
+++ b/internal/claim/coordinator.go
@@ -33,7 +33,7 @@
 	backoffUntil  time.Time                  // end of the backoff
 }
 
-// phaseTimeoutFactor is the timeout of a phase in multiples of Config.Retry.
+// phaseTimeoutFactor is the timeout of a phase in multiples of Config.RetryInterval.
 const phaseTimeoutFactor = 4
 
 func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K { return slices.Sorted(maps.Keys(values)) }
@@ -118,7 +118,7 @@
 // newRequest returns the attempt's request of the given kind.
 func (m *Machine) newRequest(a *attempt, kind wire.ClaimKind, state *serviceState) wire.ClaimRequest {
 	return wire.ClaimRequest{
-		Kind: kind, Number: a.requestNumber, Service: a.claim.Service, Key: a.claim.Key, Body: a.claim.BodyDigest,
+		Kind: kind, Number: a.requestNumber, Service: a.claim.Service, Key: a.claim.Key, BodyDigest: a.claim.BodyDigest,
 		Holder: a.claim.Holder, Round: a.round, Version: m.version, Group: state.current.digest,
 		TTLMS: m.config.KeyLife.Milliseconds(),
 	}
@@ -202,8 +202,8 @@
 	switch {
 	case reply.Vote == wire.VoteMismatch:
 		return m.refuse(a, VerdictMismatch, now)
-	case reply.Vote == wire.VoteFinished && reply.Answer != nil:
-		return m.refuseWith(a, Decision{Verdict: VerdictAnswered, Response: reply.Answer}, now)
+	case reply.Vote == wire.VoteFinished && reply.Response != nil:
+		return m.refuseWith(a, Decision{Verdict: VerdictAnswered, Response: reply.Response}, now)
 	case a.phase == phasePrepare && a.hasMajorities(wire.VoteGranted):
 		return m.allow(a)
 	case a.phase == phasePromise && a.hasMajorities(wire.VotePromised) && a.rival() == "":
--- a/internal/claim/decision.go
+++ b/internal/claim/decision.go
@@ -10,7 +10,7 @@
 // The verdicts on a claim.
 const (
 	VerdictRun        Verdict = "run"       // the caller holds the key and may run the request, once
-	VerdictAnswered   Verdict = "answered"  // the request ran before; its stored response is in Answer
+	VerdictAnswered   Verdict = "answered"  // the request ran before; its stored response is in Response
 	VerdictAlreadyRan Verdict = "ran"       // the request ran before; its response is no longer stored
 	VerdictBusy       Verdict = "busy"      // another attempt holds the key and may be running the request
 	VerdictMismatch   Verdict = "mismatch"  // the key was used for another request
--- a/internal/claim/doc.go
+++ b/internal/claim/doc.go
@@ -75,10 +75,10 @@
 //
 //   - With fewer than three declared workers there is no majority of others.
 //     Recovery is by age alone, and two processes of one worker that run at the
-//     same time, one of them cut off from the machine list, are not told apart.
+//     same time, one of them cut off from the machine list, are not distinguished.
 //   - Without CopyOnly: a majority of a group that started under a new
 //     configuration, and was cut off from all processes of the earlier one for
-//     KeyLife, cannot know that there was an earlier one. If the earlier one is
+//     KeyLife, cannot detect that there was an earlier one. If the earlier one is
 //     still running, a key sent to both may run in both.
 //   - Clocks: elapsed time may differ between nodes by a sixteenth. A machine
 //     whose clock stops while it is suspended is not covered if it resumes
--- a/internal/claim/event.go
+++ b/internal/claim/event.go
@@ -11,7 +11,7 @@
 type Event interface{ isEvent() }
 
 // Tick lets the machine act on the passage of time. It is due about every
-// Config.Retry/2.
+// Config.RetryInterval/2.
 type Tick struct{}
 
 // Claim requests permission to run a request. BodyDigest is a digest of the
@@ -29,7 +29,7 @@
 	Response             []byte
 }
 
-// Release reports that a holder that was allowed to run did not and never will.
+// Release reports that a holder that was allowed to run did not run and never will.
 type Release struct{ Service, Key, Holder string }
 
 // Cancelled reports that nobody waits for the decision on a holder any more: it
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -12,7 +12,7 @@
 // Bounds of a Keeper.
 const (
 	eventQueueSize = 1024 // events buffered for the goroutine of Run
-	ticksPerRetry  = 2    // ticks per Config.Retry
+	ticksPerRetry  = 2    // ticks per Config.RetryInterval
 )
 
 // KeeperConfig is the settings of a Keeper.
@@ -145,7 +145,7 @@
 	k.enqueue(Finish{Service: service, Key: key, Holder: holder, Response: response})
 }
 
-// Release reports that a request that was allowed to run did not and never
+// Release reports that a request that was allowed to run did not run and never
 // will. It blocks while the event queue is full.
 func (k *Keeper) Release(service, key, holder string) {
 	k.enqueue(Release{Service: service, Key: key, Holder: holder})
--- a/internal/claim/machine.go
+++ b/internal/claim/machine.go
@@ -208,13 +208,13 @@
 	return effects
 }
 
-// sweep removes expired records, sweepsPerHold times per retention period.
+// sweep removes expired records, sweepsPerRetention times per retention period.
 func (m *Machine) sweep(now time.Time) {
-	const sweepsPerHold = 64
+	const sweepsPerRetention = 64
 	if now.Before(m.nextSweep) {
 		return
 	}
-	m.nextSweep = now.Add(m.config.retention() / sweepsPerHold)
+	m.nextSweep = now.Add(m.config.retention() / sweepsPerRetention)
 	for _, state := range m.services {
 		state.table.sweep(now)
 	}
--- a/internal/claim/notice.go
+++ b/internal/claim/notice.go
@@ -9,7 +9,7 @@
 // Bounds of notices.
 const (
 	maxNoticeAttempts = 6    // times that a notice is sent
-	noticeRetryFactor = 4    // resend interval in multiples of Config.Retry
+	noticeRetryFactor = 4    // resend interval in multiples of Config.RetryInterval
 	maxNotices        = 1024 // notices tracked; further ones are sent only once
 )
 
@@ -52,7 +52,7 @@
 	state := m.services[a.claim.Service]
 	a.requestNumber = m.nextNumber()
 	sent := &notice{service: state.name, request: m.newRequest(a, kind, state), unacknowledged: make(map[string]bool)}
-	sent.request.Answer = response
+	sent.request.Response = response
 	sent.request.Round = max(a.round, a.highestRound)
 	groups := append(state.requiredGroups(slotOf(a.claim.Key), now, m.config.retention()), a.groups...)
 	for _, worker := range members(groups) {
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -129,7 +129,7 @@
 		r.promised = promised
 	}
 	if copied.Finished && !r.finished {
-		r.finished, r.bodyDigest, r.holder, r.round = true, copied.Body, copied.Holder, copied.Round
+		r.finished, r.bodyDigest, r.holder, r.round = true, copied.BodyDigest, copied.Holder, copied.Round
 	}
 	r.unsure = r.unsure || copied.Unsure
 	if r.finished || copied.Holder == "" {
@@ -142,7 +142,7 @@
 	theirs, ours := ballot{copied.Round, copied.Holder}, ballot{r.round, r.holder}
 	switch {
 	case r.holder == "" || theirs.compare(ours) > 0:
-		r.holder, r.round, r.bodyDigest = copied.Holder, copied.Round, copied.Body
+		r.holder, r.round, r.bodyDigest = copied.Holder, copied.Round, copied.BodyDigest
 	case theirs.compare(ours) == 0:
 		r.unsure = true
 	}
@@ -151,7 +151,7 @@
 // export returns the record as sent to other replicas, without its response.
 func (r *record) export(service, key string, now time.Time) wire.ClaimRecord {
 	return wire.ClaimRecord{
-		Service: service, Key: key, Body: r.bodyDigest, Holder: r.holder, Round: r.round,
+		Service: service, Key: key, BodyDigest: r.bodyDigest, Holder: r.holder, Round: r.round,
 		Finished: r.finished, Unsure: r.unsure,
 		PromisedRound: r.promised.round, PromisedHolder: r.promised.holder,
 		ExpiresMS: r.expires.Sub(now).Milliseconds() + 1,
--- a/internal/claim/recovery.go
+++ b/internal/claim/recovery.go
@@ -10,8 +10,8 @@
 
 // Bounds of copying.
 const (
-	minCopyRetryFactor      = 4   // first retry interval in multiples of Config.Retry; it doubles
-	maxCopyRetryFactor      = 100 // longest retry interval in multiples of Config.Retry
+	minCopyRetryFactor      = 4   // first retry interval in multiples of Config.RetryInterval; it doubles
+	maxCopyRetryFactor      = 100 // longest retry interval in multiples of Config.RetryInterval
 	settlePollsPerRetention = 16  // polls per retention period while all slots are recovered but priors remain
 	maxRecordsPerPart       = 256 // records per message
 )
@@ -23,7 +23,7 @@
 	requestNumber uint64                             // number of the last copy request
 	requestedAt   time.Time                          // time of the last copy request
 	retryDelay    time.Duration                      // delay before the next copy request
-	urgent        bool                               // request copies although all slots are recovered: another replica has unknown configurations
+	urgent        bool                               // request copies although all slots are recovered: another replica has configurations that this one lacks
 	sources       map[string]source                  // by worker, those whose copy is complete
 	pendingParts  map[replyID]map[int]wire.ClaimCopy // received parts of incomplete copies
 }
@@ -179,10 +179,10 @@
 // mergeCopy merges a complete copy into the slots that are not recovered yet.
 // Recovered slots are skipped: their records are this process's own votes.
 func (m *Machine) mergeCopy(state *serviceState, parts map[int]wire.ClaimCopy, now time.Time) {
-	whole := parts[0]
-	state.mergeIncarnations(whole.Known)
-	state.mergeIncarnations(map[string]uint64{whole.Worker: whole.Incarnation})
-	left := state.mergePriors(whole, m.config.GroupSize, now)
+	first := parts[0]
+	state.mergeIncarnations(first.Known)
+	state.mergeIncarnations(map[string]uint64{first.Worker: first.Incarnation})
+	left := state.mergePriors(first, m.config.GroupSize, now)
 	for _, part := range parts {
 		for _, copied := range part.Records {
 			if state.isAble(slotOf(copied.Key)) {
@@ -197,12 +197,12 @@
 			entry.merge(copied)
 		}
 	}
-	state.recovery.sources[whole.Worker] = source{whole.Incarnation, whole.Slots, whole.AbleSlots, left}
+	state.recovery.sources[first.Worker] = source{first.Incarnation, first.Slots, first.AbleSlots, left}
 }
 
 // updateReadySlots marks the slots for which enough other replicas have sent
-// their copy. Those must have had all their own votes, unless this process is
-// older than every vote of its earlier processes that can still matter.
+// their copy. Those must have had all their own votes, unless no vote of an
+// earlier process of this worker can matter any more (oldVotesExpired).
 func (m *Machine) updateReadySlots(state *serviceState, now time.Time) {
 	if state.readySlots() == allSlots {
 		return
@@ -256,7 +256,7 @@
 
 // hasCopiesOfLive reports whether all live replicas of the group have sent a
 // copy. The age of this process does not show which processes were replaced,
-// and other replicas that lost their state may not know either.
+// and other replicas that lost their state may have lost that too.
 func (m *Machine) hasCopiesOfLive(state *serviceState, replicas group, slot int) bool {
 	for _, worker := range replicas {
 		if state.liveNodeByWorker[worker] != "" && worker != m.config.Worker && !m.isValidSource(state, worker, slot, true) {
--- a/internal/claim/replica.go
+++ b/internal/claim/replica.go
@@ -66,10 +66,10 @@
 	}
 	wanted := ballot{request.Round, request.Holder}
 	switch {
-	case (entry.finished || entry.holder != "") && entry.bodyDigest != request.Body:
+	case (entry.finished || entry.holder != "") && entry.bodyDigest != request.BodyDigest:
 		reply.Vote = wire.VoteMismatch
 	case entry.finished:
-		reply.Vote, reply.Answer = wire.VoteFinished, entry.response
+		reply.Vote, reply.Response = wire.VoteFinished, entry.response
 	case entry.unsure:
 		reply.Vote = wire.VoteNone
 	case wanted.compare(entry.promised) < 0:
@@ -81,7 +81,7 @@
 	case request.Round == 0 && entry.holder != "" && entry.holder != request.Holder:
 		reply.Vote = wire.VoteTaken
 	default:
-		entry.holder, entry.round, entry.bodyDigest, entry.promised = request.Holder, request.Round, request.Body, wanted
+		entry.holder, entry.round, entry.bodyDigest, entry.promised = request.Holder, request.Round, request.BodyDigest, wanted
 		entry.extend(expires)
 		reply.Vote = wire.VoteGranted
 	}
@@ -98,8 +98,8 @@
 		return []Effect{Log{Name: LogTableFull, Service: state.name, Count: len(state.table.records)}}
 	}
 	entry.extend(expires)
-	entry.finished, entry.holder, entry.bodyDigest = true, request.Holder, request.Body
-	state.table.storeResponse(request.Key, entry, request.Answer, m.config.MaxResponseBytes, m.config.ResponseBudget)
+	entry.finished, entry.holder, entry.bodyDigest = true, request.Holder, request.BodyDigest
+	state.table.storeResponse(request.Key, entry, request.Response, m.config.MaxResponseBytes, m.config.ResponseBudget)
 	reply.Vote = wire.VoteNoted
 	return nil
 }
--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -226,9 +226,9 @@
 
 // recordLeft records that a worker has used the current configuration for the
 // given time, so that it has left all earlier ones for at least as long.
-func (s *serviceState) recordLeft(worker string, since time.Duration, now time.Time) {
+func (s *serviceState) recordLeft(worker string, elapsed time.Duration, now time.Time) {
 	for _, earlier := range s.priors {
-		at := now.Add(-since)
+		at := now.Add(-elapsed)
 		if recorded, known := earlier.leftAt[worker]; !known || at.Before(recorded) {
 			earlier.leftAt[worker] = at
 		}
--- a/internal/wire/claim.go
+++ b/internal/wire/claim.go
@@ -15,17 +15,17 @@
 
 // ClaimRequest is a request to a replica about one key.
 type ClaimRequest struct {
-	Kind    ClaimKind       `json:"kind"`
-	Number  uint64          `json:"n"`
-	Service string          `json:"service"`
-	Key     string          `json:"key"`
-	Body    string          `json:"body"`   // digest of method, path and body: the same key with another digest is rejected
-	Holder  string          `json:"holder"` // unique name of the attempt that claims the key
-	Version version.Version `json:"version"`
-	Answer  []byte          `json:"answer,omitempty"`
-	TTLMS   int64           `json:"ttlMs"`           // lifetime of the key
-	Round   uint64          `json:"round,omitempty"` // the attempt's ballot is (Round, Holder); any holder may use round 0
-	Group   string          `json:"group,omitempty"` // digest of the service's declared workers in the sender's configuration
+	Kind       ClaimKind       `json:"kind"`
+	Number     uint64          `json:"n"`
+	Service    string          `json:"service"`
+	Key        string          `json:"key"`
+	BodyDigest string          `json:"body"`   // digest of method, path and body: the same key with another digest is rejected
+	Holder     string          `json:"holder"` // unique name of the attempt that claims the key
+	Version    version.Version `json:"version"`
+	Response   []byte          `json:"answer,omitempty"`
+	TTLMS      int64           `json:"ttlMs"`           // lifetime of the key
+	Round      uint64          `json:"round,omitempty"` // the attempt's ballot is (Round, Holder); any holder may use round 0
+	Group      string          `json:"group,omitempty"` // digest of the service's declared workers in the sender's configuration
 }
 
 // ClaimVote is the result in a replica's reply.
@@ -35,7 +35,7 @@
 const (
 	VoteGranted  ClaimVote = "granted"  // the key is granted to the holder
 	VoteTaken    ClaimVote = "taken"    // another attempt holds the key and may be running it
-	VoteFinished ClaimVote = "finished" // the key has run; Answer is set while the response is retained
+	VoteFinished ClaimVote = "finished" // the key has run; Response is set while it is retained
 	VoteMismatch ClaimVote = "mismatch" // the key was used with another digest of method, path and body
 	VoteNone     ClaimVote = "none"     // no vote: the replica has lost its state or is not a member of the group
 	VotePromised ClaimVote = "promised" // the replica now rejects lower ballots; AcceptedBy is the holder that it voted for
@@ -44,10 +44,10 @@
 
 // ClaimReply is the reply to a ClaimRequest.
 type ClaimReply struct {
-	Number uint64    `json:"n"`
-	Key    string    `json:"key"`
-	Vote   ClaimVote `json:"vote"`
-	Answer []byte    `json:"answer,omitempty"`
+	Number   uint64    `json:"n"`
+	Key      string    `json:"key"`
+	Vote     ClaimVote `json:"vote"`
+	Response []byte    `json:"answer,omitempty"`
 
 	Worker      string            `json:"worker,omitempty"`     // the replica
 	Incarnation uint64            `json:"inc,omitempty"`        // of the replica's process
@@ -62,13 +62,13 @@
 
 // ClaimRecord is the state of one key at a replica.
 type ClaimRecord struct {
-	Service   string `json:"service"`
-	Key       string `json:"key"`
-	Body      string `json:"body"`
-	Holder    string `json:"holder"`
-	Finished  bool   `json:"finished,omitempty"`
-	Answer    []byte `json:"answer,omitempty"`
-	ExpiresMS int64  `json:"expiresMs"` // remaining lifetime, milliseconds
+	Service    string `json:"service"`
+	Key        string `json:"key"`
+	BodyDigest string `json:"body"`
+	Holder     string `json:"holder"`
+	Finished   bool   `json:"finished,omitempty"`
+	Response   []byte `json:"answer,omitempty"`
+	ExpiresMS  int64  `json:"expiresMs"` // remaining lifetime, milliseconds
 
 	Round          uint64 `json:"round,omitempty"`          // round of the vote for Holder
 	PromisedRound  uint64 `json:"promisedRound,omitempty"`  // highest ballot promised: its round
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -64,10 +64,10 @@
 	EndpointGone     EndpointState = "gone"
 )
 
-// Member is the record of a node, written by that node and relayed by others. Of two records
-// of a node the one with the greater (Start, Incarnation) takes precedence; if these are
-// equal, the greater Sequence decides the endpoint part, and the order of Status the rest. In
-// datagrams a record without Peer omits the constant part (Zone to Inbound), which the
+// Member is the register of a node, written by that node and relayed by others. Of two
+// registers of a node the one with the greater (Start, Incarnation) takes precedence; if these
+// are equal, the greater Sequence decides the endpoint part, and the order of Status the rest.
+// In datagrams a register without Peer omits the constant part (Zone to Inbound), which the
 // receiver already has.
 type Member struct {
 	Name        string        `json:"name"`
@@ -84,12 +84,12 @@
 	Sequence    uint64        `json:"seq,omitempty"`
 }
 
-// Digests summarize the sender's state in probes and their acknowledgements. A receiver whose
-// state is older pulls. A zero Staged means the Active version.
+// Digests summarize the sender's state in probes and their acknowledgements. A receiver with an
+// older version pulls the newer one. A zero Staged means the Active version.
 type Digests struct {
 	Active version.Version `json:"active,omitzero"` // version in force
 	Staged version.Version `json:"staged,omitzero"` // newest version that is complete, in force or not
-	View   uint64          `json:"view,omitempty"`  // hash of the member records
+	View   uint64          `json:"view,omitempty"`  // hash of the member registers
 	Clock  int64           `json:"clock,omitempty"` // wall clock, Unix milliseconds
 }
 
@@ -115,7 +115,7 @@
 	Updates []Member `json:"u,omitempty"`
 }
 
-// Gossip spreads changed records between probes. Its Digests contain only the View.
+// Gossip spreads changed registers between probes. Its Digests contain only the View.
 type Gossip struct {
 	Digests Digests  `json:"d"`
 	Updates []Member `json:"u,omitempty"`
@@ -132,8 +132,8 @@
 	Others       []Member `json:"others,omitempty"`
 }
 
-// Sync sends member records; Reply requests the receiver's in return. With Buckets, hashes of
-// parts of the sender's view, only the records of the parts that differ are exchanged.
+// Sync sends member registers; Reply requests the receiver's in return. With Buckets, hashes of
+// parts of the sender's view, only the registers of the parts that differ are exchanged.
 type Sync struct {
 	Members []Member `json:"members"`
 	Digests Digests  `json:"d"`
