--- a/internal/control/publisher.go
+++ b/internal/control/publisher.go
@@ -21,7 +21,7 @@
 	members      []wire.Member        // live members of the last published view
 	readySince   map[endpointIdentity]time.Time
 	dirty        bool
-	nextBoundary time.Time // wall clock at which a schedule opens or closes
+	nextBoundary time.Time // wall clock time from which schedules may change the view, zero if they never do
 	lastPublish  time.Time
 }
 
@@ -89,8 +89,10 @@
 	}
 }
 
-// boundaryPassed reports whether a schedule has opened or closed since the last
-// view. A zero nextBoundary means that none is near.
+// boundaryPassed reports whether a schedule has opened or closed, or the overlap around
+// such a moment has begun or ended, since the last view. A zero nextBoundary means that no
+// schedule ever opens or closes: all repeat weekly, and Compiled.NextResolve looks sixteen
+// days ahead.
 func (p *publisher) boundaryPassed(wallClock time.Time) bool {
 	return !p.nextBoundary.IsZero() && !wallClock.Before(p.nextBoundary)
 }
--- a/internal/distribution/catchup.go
+++ b/internal/distribution/catchup.go
@@ -226,7 +226,7 @@
 // this node lacks and is not pulling, it schedules a pull from that peer, whose
 // reply replaces the report: the peer may have lost the version in a restart.
 // Otherwise, after a pause, it queries random peers until one has replied. The
-// query number tells replies from messages that were sent before the phase.
+// query number distinguishes replies from messages sent before the phase.
 func (m *Machine) queryPeers() {
 	if m.now.Before(m.catchUp.queryAt) {
 		return
--- a/internal/distribution/catchup_test.go
+++ b/internal/distribution/catchup_test.go
@@ -69,8 +69,8 @@
 	must.True(t, machine.Status().Fresh)
 }
 
-// D1 of the model: a started node counted gossip that had been sent before its
-// start.
+// Defect D1, found with the model (model/distribution.pml): a started node
+// counted gossip that had been sent before its start.
 func TestStartedNodeIgnoresEarlierGossip(t *testing.T) {
 	now := time.Unix(1, 0)
 	machine := newSingleMachine(now, peer("peer-a"))
--- a/internal/distribution/config.go
+++ b/internal/distribution/config.go
@@ -6,8 +6,8 @@
 //
 // A version is staged once its set is complete and has passed the validator.
 // The root of its tree accepts it once enough distinct members have staged it.
-// A node activates a version only when it is accepted and staged, and never one
-// that is before the version in force.
+// A node activates a version, that is, puts it in force, only when it is accepted
+// and staged, and never one that is before the version in force.
 package distribution
 
 import (
--- a/internal/distribution/conformance_test.go
+++ b/internal/distribution/conformance_test.go
@@ -178,7 +178,8 @@
 	}
 }
 
-// mayAccept is ENOUGH of the model, over the members that are not leaving.
+// mayAccept is the condition ENOUGH of model/distribution.pml, over the members
+// that are not leaving.
 func (n *modelNode) mayAccept(self string, v version.Version) bool {
 	held, staying := 0, 0
 	for name, member := range n.view {
@@ -193,8 +194,8 @@
 	return n.staged[v] && held >= min(DefaultConfig().Holders, staying)
 }
 
-// mayCatchUp is CAN_BE_READY of the model, except that the code is satisfied
-// with two replies of each zone, or fewer after the timeout.
+// mayCatchUp is the condition CAN_BE_READY of model/distribution.pml, except that
+// the code is satisfied with two replies of each zone, or fewer after the timeout.
 func (c *conformance) mayCatchUp(node *simNode, n *modelNode) bool {
 	useful, peers := map[string]int{}, map[string]int{}
 	for name, member := range n.view {
--- a/internal/distribution/machine_test.go
+++ b/internal/distribution/machine_test.go
@@ -143,8 +143,8 @@
 	effects := machine.Step(PeerDigests{From: "peer-a", Digests: wire.Digests{Active: lost.Version()}}, now)
 	must.False(t, machine.Status().Fresh)
 	index := slices.IndexFunc(sends(effects), func(sent wire.Outgoing) bool { return sent.Message.Pull != nil && sent.Message.Pull.Number != 0 })
-	answer := &wire.Accepted{Version: first.Version(), Number: sends(effects)[index].Message.Pull.Number}
-	machine.Step(Received{wire.Envelope{From: "peer-a", Accepted: answer}}, now)
+	reply := &wire.Accepted{Version: first.Version(), Number: sends(effects)[index].Message.Pull.Number}
+	machine.Step(Received{wire.Envelope{From: "peer-a", Accepted: reply}}, now)
 	must.True(t, machine.Status().Fresh)
 }
 
@@ -269,8 +269,8 @@
 	refused, next := edition{revision: 1, invalid: true}.set(t), edition{revision: 2}.set(t)
 	pulls := 0
 	for range 100 {
-		for _, answer := range []Received{pushOf(snapshot.Empty(), refused, "peer-a", ""), pushOf(refused, next, "peer-a", "")} {
-			pulls += len(sends(machine.Step(answer, now)))
+		for _, push := range []Received{pushOf(snapshot.Empty(), refused, "peer-a", ""), pushOf(refused, next, "peer-a", "")} {
+			pulls += len(sends(machine.Step(push, now)))
 		}
 	}
 	must.Eq(t, 1, pulls)
--- a/internal/distribution/repair.go
+++ b/internal/distribution/repair.go
@@ -149,7 +149,7 @@
 	attempt int
 }
 
-func (a *bodyRequest) begin(now time.Time) { *a = bodyRequest{due: now} }
+func (b *bodyRequest) begin(now time.Time) { *b = bodyRequest{due: now} }
 
 // requestMissing requests missing bodies from a reader or another peer, with
 // exponential backoff.
--- a/internal/distribution/stage.go
+++ b/internal/distribution/stage.go
@@ -32,7 +32,7 @@
 // logEquivocation logs that a revision has another content than the one present
 // here.
 func (m *Machine) logEquivocation(v version.Version) {
-	for _, existing := range m.heldVersions() {
+	for _, existing := range m.storedVersions() {
 		if existing.Conflicts(v) && m.catchUp.loggedEquivocation != v {
 			m.catchUp.loggedEquivocation = v
 			m.log(LogEquivocation, nil, versionField(v), Field{"held", existing.String()}, Field{"wins", version.Max(v, existing).String()})
@@ -40,7 +40,8 @@
 	}
 }
 
-func (m *Machine) heldVersions() []version.Version {
+// storedVersions returns the versions of the active, staged and waiting sets.
+func (m *Machine) storedVersions() []version.Version {
 	versions := []version.Version{m.active.Version()}
 	for _, staged := range m.staged {
 		versions = append(versions, staged.version())
@@ -135,7 +136,7 @@
 // bodiesOf returns the bodies stored under a key, in any version.
 func (m *Machine) bodiesOf(key snapshot.Key) []snapshot.Resource {
 	var bodies []snapshot.Resource
-	for _, set := range m.heldSets() {
+	for _, set := range m.storedSets() {
 		resource, found := set.Lookup(key)
 		duplicate := slices.ContainsFunc(bodies, func(other snapshot.Resource) bool { return other.Digest == resource.Digest })
 		if found && resource.Body != nil && !duplicate {
@@ -145,7 +146,8 @@
 	return bodies
 }
 
-func (m *Machine) heldSets() []*snapshot.Set {
+// storedSets returns the active, staged and waiting sets and those in history.
+func (m *Machine) storedSets() []*snapshot.Set {
 	sets := []*snapshot.Set{m.active}
 	for _, staged := range m.staged {
 		sets = append(sets, staged.set)
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -95,8 +95,8 @@
 	backlogThreshold       = 64               // queued updates above which retransmissions are reduced
 	maxBacklogRetransmits  = 5                // transmissions per update above that threshold
 	lowPriorityRetransmits = 2                // transmissions of an update that most peers have or detect themselves
-	maxSyncProbes          = 8                // accusations in one sync up to which each accused member is probed at once
-	maxSyncSuspicionFactor = 4                // maximum multiple of the suspicion timeout above that number
+	maxSyncProbes          = 8                // maximum accusations in one sync for which all accused members are probed at once
+	maxSyncSuspicionFactor = 4                // maximum multiple of the suspicion timeout for more accusations than that
 	maxMembers             = 8192             // maximum registers, against a peer that invents names
 	pauseFactor            = 2                // a gap between ticks of this many probe timeouts counts as a pause
 )
