--- a/internal/command/refusals/refusals.go
+++ b/internal/command/refusals/refusals.go
@@ -33,7 +33,7 @@
 // row collects the refusals of one span, route and cause.
 type row struct {
 	refused     int
-	returned    int   // those refused before; their callers do not retry again
+	returned    int   // those that had been refused before; their callers do not retry once more
 	offers      []int // number of nodes that each request was offered to
 	retryDelays []int // milliseconds after which each caller was asked to retry
 	durations   []int // milliseconds from the arrival of each request to its refusal
--- a/internal/command/release/release.go
+++ b/internal/command/release/release.go
@@ -51,6 +51,6 @@
 	if !body.OK {
 		return fault.New(fault.Caller, "copy the fingerprint from sliphead status", "%s rejected the release: %s", c.Node, body.Reason)
 	}
-	_, err = fmt.Fprintf(output, "%s was %s; all nodes send it to workers again, and quarantine it again after it has terminated three more workers\n", c.Fingerprint, body.Reason)
+	_, err = fmt.Fprintf(output, "%s was %s; all nodes send it to workers again, and quarantine it again after it has crashed three more workers\n", c.Fingerprint, body.Reason)
 	return err
 }
--- a/internal/command/status/status.go
+++ b/internal/command/status/status.go
@@ -106,8 +106,8 @@
 	_, err := fmt.Fprintf(output, `node       %s in zone %s, service %s
 ready      %t %s
 version    %d in force, store revision %d of era %d, confirmed %.2f s ago
-updates    %s, sent on to %d nodes
-instances  %d recorded, %d records and orders of the store doubted
+updates    %s, forwarded to %d nodes
+instances  %d recorded, %d records and evacuation orders of a restored store not applied yet
 evacuated  %s
 requests   %d in flight, %d slots in use, %d queued
 quarantine %d requests held, %d suspected
@@ -120,7 +120,7 @@
 		return err
 	}
 	if limit := status.Limit; limit.Limited {
-		fmt.Fprintf(output, "limit      the worker has accepted at most %g requests/s for %.1f s, %d sent in the last %s\n", limit.PerSecond, limit.ForS, limit.Sent, workerlimit.SentWindow)
+		fmt.Fprintf(output, "limit      %g requests/s, advertised by the worker for %.1f s, %d sent in the last %s\n", limit.PerSecond, limit.ForS, limit.Sent, workerlimit.SentWindow)
 	}
 	if limits := status.Quota; limits != nil {
 		fmt.Fprintf(output, "quota      %d tenants with a limit, %d stripes here, %d tokens available\n", limits.Tenants, limits.Stripes, limits.CachedTokens)
--- a/internal/declaration/schedule_test.go
+++ b/internal/declaration/schedule_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestOpen(t *testing.T) {
+func TestOpenFollowsLocalWallClock(t *testing.T) {
 	night := Window{Days: []string{"fri"}, From: "22:00", To: "02:00"}
 	gap := Window{From: "01:15", To: "01:45"}
 	morning := Window{From: "01:30", To: "03:00"}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -60,7 +60,7 @@
 	Inbound  string `yaml:"inbound,omitempty" validate:"omitempty,address"` // required with a worker, not allowed without
 	Outbound string `yaml:"outbound" validate:"address"`
 	Admin    string `yaml:"admin" validate:"address"`
-	Quota    string `yaml:"quota,omitempty" validate:"omitempty,address"` // for quota messages, with a store; if absent, tenants have no limits
+	Quota    string `yaml:"quota,omitempty" validate:"omitempty,address"` // for the datagrams of quotas, with a store; if absent, tenants have no limits
 }
 
 // Advertise are the addresses that are announced to peers; by default those of Listen.
@@ -77,7 +77,7 @@
 	Machines         string   `yaml:"machines,omitempty" validate:"omitempty,http_url"`
 	Readers          int      `yaml:"readers" validate:"min=1,max=1000"`          // maximum number of nodes that read, fleet-wide
 	LongPoll         Duration `yaml:"longPoll" validate:"atLeast=0s,atMost=5m"`   // 0: requests return at once
-	MachinesInterval Duration `yaml:"machinesInterval" validate:"atLeast=1s"`     //
+	MachinesInterval Duration `yaml:"machinesInterval" validate:"atLeast=1s"`     // mean time between two requests for the machine list
 	Timeout          Duration `yaml:"timeout" validate:"atLeast=100ms,atMost=5m"` // for one response, in addition to the long poll
 }
 
@@ -99,9 +99,9 @@
 
 // Distribution configures how versions are distributed.
 type Distribution struct {
-	Holders         int      `yaml:"holders" validate:"min=1,max=15"`        // members that must hold a version before it is accepted
-	Fanout          int      `yaml:"fanout" validate:"min=2,max=64"`         // children per node in the distribution tree
-	ReadersPerZone  int      `yaml:"readersPerZone" validate:"min=1,max=16"` //
+	Holders         int      `yaml:"holders" validate:"min=1,max=15"`        // members that must have staged a version before it is accepted
+	Fanout          int      `yaml:"fanout" validate:"min=2,max=64"`         // mean number of children per node in the distribution tree
+	ReadersPerZone  int      `yaml:"readersPerZone" validate:"min=1,max=16"` // nodes of each zone that read the source
 	Lease           Duration `yaml:"lease" validate:"atLeast=100ms,atMost=1m"`
 	ScheduleOverlap Duration `yaml:"scheduleOverlap" validate:"atLeast=0s,atMost=59s"` // less than one minute, the minimum length of a schedule's window
 }
@@ -150,7 +150,7 @@
 
 // Tenants configures the checks of callers' keys, with a store.
 type Tenants struct {
-	FailClosedAfter Duration `yaml:"failClosedAfter" validate:"atLeast=0s,atMost=10m"` // when a node's knowledge of the keys in force is older than this, it rejects callers that need a key; 0: it uses the keys it has, whatever their age
+	FailClosedAfter Duration `yaml:"failClosedAfter" validate:"atLeast=0s,atMost=10m"` // maximum time since a node last confirmed that it has the latest keys; after it, the node rejects requests that need a key. 0: no maximum, it uses the keys that it has
 }
 
 // Retry limits repeated arrivals of requests at workers, with a store.
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestFor(t *testing.T) {
+func TestForEndsAfterDurationOrContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
 		must.True(t, For(t.Context(), time.Second))
--- a/internal/source/reader.go
+++ b/internal/source/reader.go
@@ -138,8 +138,9 @@
 }
 
 // nextDelay records the result of a request and returns the wait before the next one.
-// After a new document the next may follow soon. A service that responds immediately
-// that nothing has changed doesn't support long polls and is polled at Interval.
+// It is short after a new document, because another may follow soon. A service that
+// responds immediately that nothing has changed doesn't support long polls and is polled at
+// Interval.
 func (r *Reader) nextDelay(updated bool, err error, took time.Duration) time.Duration {
 	if err != nil {
 		r.recordFailure(err)
--- a/internal/transport/cause.go
+++ b/internal/transport/cause.go
@@ -32,9 +32,9 @@
 
 // causeOf returns the cause attached to an error, causeOther if there is none.
 func causeOf(err error) cause {
-	var refusal *causedError
-	if errors.As(err, &refusal) {
-		return refusal.cause
+	var caused *causedError
+	if errors.As(err, &caused) {
+		return caused.cause
 	}
 	return causeOther
 }
--- a/internal/transport/coding.go
+++ b/internal/transport/coding.go
@@ -134,7 +134,7 @@
 type lineReader struct {
 	buffered *bufio.Reader
 	longLine []byte // collects a line that is longer than the read buffer
-	maximum  int    // length of a line in bytes
+	maximum  int    // maximum length of a line in bytes
 	budget   *budget
 	reserved int64 // bytes taken from the budget
 }
--- a/internal/transport/config.go
+++ b/internal/transport/config.go
@@ -33,7 +33,7 @@
 // Config configures a Transport.
 type Config struct {
 	Bind             string               // host:port of the stream and datagram listeners
-	Self             func() wire.Member   // this node's membership record, sent in Hello; safe for concurrent use
+	Self             func() wire.Member   // this node's membership register, sent in Hello; safe for concurrent use
 	AlternativePeers func() []wire.Member // optional: peers listed in Busy, to which a rejected dialer may connect instead; safe for concurrent use
 	Network          Network              // default: System
 	Security         Security             // required: the zero value is rejected, set Plain or the files
--- a/internal/transport/credentials.go
+++ b/internal/transport/credentials.go
@@ -21,7 +21,7 @@
 }
 
 // credentials authenticate this node to its peers and the peers to this node. A nil
-// pointer stands for the plain mode. They are safe for concurrent use.
+// pointer means plain mode. They are safe for concurrent use.
 type credentials struct {
 	certificate *reloadedValue[*tls.Certificate]
 	authority   *reloadedValue[*x509.CertPool]
@@ -53,7 +53,7 @@
 	if s.CertificateFile+s.KeyFile+s.AuthorityFile+s.DatagramKeyFile == "" {
 		return nil
 	}
-	return fault.New(fault.Settings, "remove security.plain to use the keys, or the keys to run tests without authentication",
+	return fault.New(fault.Settings, "remove security.plain to use the keys, or remove the keys to run tests without them",
 		"security.plain is set together with key files")
 }
 
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -32,7 +32,7 @@
 
 // acceptStreams admits streams until ctx ends.
 func (t *Transport) acceptStreams(ctx context.Context, listener net.Listener) error {
-	refusals := make(chan struct{}, maxBusyReplies)
+	busySlots := make(chan struct{}, maxBusyReplies)
 	for {
 		raw, err := listener.Accept()
 		if ctx.Err() != nil {
@@ -49,13 +49,13 @@
 			sleep.For(ctx, acceptPause)
 			continue
 		}
-		t.admit(&countedConn{Conn: raw, totals: &t.totals}, refusals)
+		t.admit(&countedConn{Conn: raw, totals: &t.totals}, busySlots)
 	}
 }
 
-// admit serves a stream within the limits on their number and rate, and rejects
-// it otherwise.
-func (t *Transport) admit(conn *countedConn, refusals chan struct{}) {
+// admit serves a stream within the limits on their number and rate. It replies Busy to
+// any other stream, or closes it without a reply if no slot is free.
+func (t *Transport) admit(conn *countedConn, busySlots chan struct{}) {
 	open := t.totals.streamsIn.Add(1)
 	admitted := open <= int64(t.config.Limits.MaxStreams) && t.admission.Allow()
 	if admitted {
@@ -69,17 +69,17 @@
 	t.totals.streamsIn.Add(-1)
 	t.totals.streamsRefused.Add(1)
 	select {
-	case refusals <- struct{}{}:
+	case busySlots <- struct{}{}:
 	default:
 		conn.Close()
 		return
 	}
 	started := t.startGoroutine(func(ctx context.Context) {
-		defer func() { <-refusals }()
+		defer func() { <-busySlots }()
 		t.replyBusy(ctx, conn)
 	})
 	if !started {
-		<-refusals
+		<-busySlots
 		conn.Close()
 	}
 }
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -50,7 +50,7 @@
 }
 
 // enqueueLocked appends a line, drops the oldest lines beyond the limits, and starts
-// or wakes the goroutine that sends them. A single line is kept whatever its size.
+// or wakes the goroutine that sends them. A single line is queued whatever its size.
 func (l *link) enqueueLocked(line []byte) {
 	limits := &l.transport.config.Limits
 	l.queue = append(l.queue, queuedLine{line: line, queuedAt: time.Now()})
--- a/internal/transport/log_limiter.go
+++ b/internal/transport/log_limiter.go
@@ -13,7 +13,7 @@
 
 const (
 	logInterval        = time.Minute // minimum time between two log lines for the same event, peer and cause
-	maxTrackedProblems = 1024        // combinations tracked
+	maxTrackedProblems = 1024        // maximum number of such combinations that are tracked
 )
 
 // problemKey identifies a recurring problem with a peer.
@@ -56,17 +56,17 @@
 
 // allow reports whether a problem may be logged now, and if so records the time. It
 // returns false while maxTrackedProblems other problems are tracked.
-func (l *logLimiter) allow(cause problemKey, now time.Time) bool {
+func (l *logLimiter) allow(problem problemKey, now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if last, found := l.lastLogged[cause]; found && now.Sub(last) < logInterval {
+	if last, found := l.lastLogged[problem]; found && now.Sub(last) < logInterval {
 		return false
 	}
 	l.removeExpired(now)
 	if len(l.lastLogged) >= maxTrackedProblems {
 		return false
 	}
-	l.lastLogged[cause] = now
+	l.lastLogged[problem] = now
 	return true
 }
 
@@ -75,9 +75,9 @@
 	if len(l.lastLogged) < maxTrackedProblems {
 		return
 	}
-	for cause, last := range l.lastLogged {
+	for problem, last := range l.lastLogged {
 		if now.Sub(last) >= logInterval {
-			delete(l.lastLogged, cause)
+			delete(l.lastLogged, problem)
 		}
 	}
 }
--- a/internal/worker/health_test.go
+++ b/internal/worker/health_test.go
@@ -48,7 +48,7 @@
 	return r.health.State()
 }
 
-func TestHealthTracker(t *testing.T) {
+func TestWorkerStateFollowsObservations(t *testing.T) {
 	const ready, starting, draining, unreachable = ProbeReady, ProbeStarting, ProbeDraining, ProbeUnreachable
 	const success, failure = TrafficSucceeded, TrafficFailed
 	for name, test := range map[string]struct {
--- a/internal/worker/watcher_test.go
+++ b/internal/worker/watcher_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestInterpret(t *testing.T) {
+func TestHealthResponseDeterminesObservation(t *testing.T) {
 	for _, test := range []struct {
 		status int
 		body   string
