--- a/lab/mesh/node.go
+++ b/lab/mesh/node.go
@@ -107,7 +107,7 @@
 		return false
 	}
 	select {
-	case <-running.Ended():
+	case <-running.Exited():
 		return false
 	default:
 		return true
@@ -131,7 +131,7 @@
 		}
 		select {
 		case <-ticker.C:
-		case <-n.process().Ended():
+		case <-n.process().Exited():
 			return fault.New(fault.Unready, "read its log in the lab's directory", "node %s exited before it was ready", n.Name)
 		case <-ctx.Done():
 			return fault.New(fault.Unready, "read its log in the lab's directory", "node %s did not become ready in time", n.Name)
--- a/lab/mesh/worker.go
+++ b/lab/mesh/worker.go
@@ -75,7 +75,7 @@
 		}
 		select {
 		case <-ticker.C:
-		case <-w.running.Ended():
+		case <-w.running.Exited():
 			return fault.New(fault.Worker, "read its log in the lab's directory", "worker %s exited before it listened", w.Name)
 		case <-timeout:
 			return fault.New(fault.Worker, "read its log in the lab's directory", "worker %s did not listen in time", w.Name)
--- a/lab/process/process.go
+++ b/lab/process/process.go
@@ -132,5 +132,5 @@
 	}
 }
 
-// Ended returns a channel that is closed once the process has exited.
-func (p *Process) Ended() <-chan struct{} { return p.exited }
+// Exited returns a channel that is closed once the process has exited.
+func (p *Process) Exited() <-chan struct{} { return p.exited }
--- a/lab/store/store.go
+++ b/lab/store/store.go
@@ -18,7 +18,7 @@
 	Key      string
 	Value    []byte
 	Revision uint64 // of its last change
-	Gone     bool
+	Removed  bool
 }
 
 // Treatment is the way in which the store treats the calls of one caller. The
@@ -27,12 +27,12 @@
 
 // The treatments of calls.
 const (
-	Serve       Treatment = iota // respond normally
-	Throttle                     // reject at once: too many calls
-	Refuse                       // reject at once: unavailable
-	Silence                      // send no response
-	Garbage                      // send an invalid response
-	SilentWatch                  // respond to reads, but not to watches
+	Serve           Treatment = iota // respond normally
+	Throttle                         // reject at once: too many calls
+	Unavailable                      // reject at once: unavailable
+	NoResponse                       // send no response
+	InvalidResponse                  // send an invalid response
+	NoWatchResponse                  // respond to reads, but not to watches
 )
 
 // Store is the stand-in. Its zero value is not usable; call New. It is safe for
@@ -60,7 +60,7 @@
 }
 
 // Remove removes a key and returns the revision of the change.
-func (s *Store) Remove(key string) uint64 { return s.write(Item{Key: key, Gone: true}) }
+func (s *Store) Remove(key string) uint64 { return s.write(Item{Key: key, Removed: true}) }
 
 // Revision returns the revision of the last change.
 func (s *Store) Revision() uint64 {
@@ -75,7 +75,7 @@
 	s.revision++
 	item.Revision = s.revision
 	s.history = append(s.history, item)
-	if item.Gone {
+	if item.Removed {
 		delete(s.items, item.Key)
 	} else {
 		s.items[item.Key] = item
@@ -100,9 +100,9 @@
 	s.notifyChanged()
 }
 
-// Treat sets the treatment of a caller. An empty caller sets it for all callers
+// SetTreatment sets the treatment of a caller. An empty caller sets it for all callers
 // without their own.
-func (s *Store) Treat(caller string, treatment Treatment) {
+func (s *Store) SetTreatment(caller string, treatment Treatment) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.treatments[caller] = treatment
@@ -138,24 +138,24 @@
 // position returns the current position. Callers hold the mutex.
 func (s *Store) position() Position { return Position{Era: s.era, Revision: s.revision} }
 
-// Copy is a snapshot of the store from which it can be restored.
-type Copy struct {
+// Snapshot is a snapshot of the store from which it can be restored.
+type Snapshot struct {
 	revision          uint64
 	items             map[string]Item
 	history           []Item
 	compactedRevision uint64
 }
 
-// Copy returns a snapshot of the current state.
-func (s *Store) Copy() Copy {
+// Snapshot returns a snapshot of the current state.
+func (s *Store) Snapshot() Snapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return Copy{revision: s.revision, items: maps.Clone(s.items), history: slices.Clone(s.history), compactedRevision: s.compactedRevision}
+	return Snapshot{revision: s.revision, items: maps.Clone(s.items), history: slices.Clone(s.history), compactedRevision: s.compactedRevision}
 }
 
 // Restore resets the store to a copy and increases the era. Changes made since the copy
 // are lost, and their revisions are assigned again.
-func (s *Store) Restore(from Copy) {
+func (s *Store) Restore(from Snapshot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.era++
